--- a/internal/decision/placement/candidates.go
+++ b/internal/decision/placement/candidates.go
@@ -7,75 +7,74 @@
 )
 
 const (
-	// fewEngines is the size of a pool up to which every engine is weighed for every
-	// request: a placement takes some 50 µs there.
-	fewEngines = 128
-	// drawnEngines is how many are weighed of a larger pool, spread evenly over it,
-	// beside the homes of the request's beginning. Of so many some are as free as the
-	// best of all, and different requests weigh different ones, so that processes
-	// that have not heard of each other yet do not meet at the same engine.
-	drawnEngines = 48
-	// homes is how many engines may come to hold a beginning in a larger pool: the
-	// first one and, while those have queues, the next.
-	homes = 6
+	// fullScanEngines is the largest pool of which every engine is scored for every request; a
+	// placement takes some 50 µs there.
+	fullScanEngines = 128
+	// sampledEngines is how many engines of a larger pool are scored, spread evenly over the pool,
+	// in addition to the affinity engines of the prompt's prefix. A sample of this size contains
+	// engines that are as free as the best of the pool, and different requests sample different
+	// engines, so that processes that have not received each other's notices yet do not choose the
+	// same engine.
+	sampledEngines = 48
+	// affinityEngineCount is how many engines may come to hold a prefix in a larger pool: the first
+	// one and, while earlier ones have queues, the next.
+	affinityEngineCount = 6
 )
 
-// candidates returns the engines that are weighed for a request, those of a small
-// pool in their order.
+// candidates returns the engines that are scored for a request. For a small pool these are all
+// engines, in the pool's order.
 //
-// Load pattern: a fleet grows to a thousand engines. Without it each process looks at
-// all of them for each prompt, half a millisecond, which is more than a small process
-// may take at its share of the requests.
+// In a fleet of a thousand engines, scoring all of them would take half a millisecond for each
+// prompt, more than a small process can spend at its share of the requests.
 func (pool *pool) candidates(req carawayspread.Placing, chains []uint64) []*engine {
 	n := len(pool.ordered)
-	if n <= fewEngines {
+	if n <= fullScanEngines {
 		return pool.ordered
 	}
-	drawn := pool.drawn[:0]
+	sampled := pool.candidateBuffer[:0]
 	if len(chains) > 1 {
-		drawn = pool.homesOf(chains[len(chains)-2], drawn)
+		sampled = pool.affinityEngines(chains[len(chains)-2], sampled)
 	}
-	start, step := req.Key%uint64(n), float64(n)/drawnEngines
-	for i := range drawnEngines {
+	start, step := req.Key%uint64(n), float64(n)/sampledEngines
+	for i := range sampledEngines {
 		e := pool.ordered[(start+uint64(float64(i)*step))%uint64(n)]
-		if !slices.Contains(drawn[:min(homes, len(drawn))], e) {
-			drawn = append(drawn, e)
+		if !slices.Contains(sampled[:min(affinityEngineCount, len(sampled))], e) {
+			sampled = append(sampled, e)
 		}
 	}
-	pool.drawn = drawn
-	return drawn
+	pool.candidateBuffer = sampled
+	return sampled
 }
 
-// homesOf appends the readers that draw the highest numbers for a beginning, the
+// affinityEngines appends the prefill engines with the highest rendezvous weights for a prefix, the
 // highest first.
-func (pool *pool) homesOf(beginning uint64, to []*engine) []*engine {
-	var highest [homes]uint64
+func (pool *pool) affinityEngines(prefix uint64, dst []*engine) []*engine {
+	var highest [affinityEngineCount]uint64
 	for _, e := range pool.ordered {
-		if !e.reads() {
+		if !e.prefillOnly() {
 			continue
 		}
-		d := draw(beginning, e.hash)
-		if len(to) == homes && d <= highest[homes-1] {
+		weight := rendezvousWeight(prefix, e.hash)
+		if len(dst) == affinityEngineCount && weight <= highest[affinityEngineCount-1] {
 			continue
 		}
 		at := 0
-		for at < len(to) && highest[at] >= d {
+		for at < len(dst) && highest[at] >= weight {
 			at++
 		}
-		if len(to) < homes {
-			to = append(to, nil)
+		if len(dst) < affinityEngineCount {
+			dst = append(dst, nil)
 		}
-		copy(to[at+1:], to[at:])
+		copy(dst[at+1:], dst[at:])
 		copy(highest[at+1:], highest[at:])
-		to[at], highest[at] = e, d
+		dst[at], highest[at] = e, weight
 	}
-	return to
+	return dst
 }
 
-// from returns engines in an order that starts at a place which follows from the
-// key: where several are as good, requests spread over them, and the same request
-// finds the same one.
-func from(engines []*engine, key uint64) func(yield func(*engine) bool) {
+// rotated returns the engines in an order that starts at an index derived from the key. Requests
+// spread over engines of equal cost, and the same request finds the same engine again.
+func rotated(engines []*engine, key uint64) func(yield func(*engine) bool) {
 	return func(yield func(*engine) bool) {
 		n := uint64(len(engines))
 		for i := range n {
--- a/internal/decision/placement/candidates_test.go
+++ b/internal/decision/placement/candidates_test.go
@@ -10,43 +10,43 @@
 	"carawayspread"
 )
 
-// Prompts that share a beginning find it where it was read, in a fleet of any size:
-// every process weighs the same homes of it, though it weighs few engines.
-func TestHomesAreWeighedInALargePool(t *testing.T) {
+// Guards against prompts that share a prefix missing the engine that holds it in a large fleet:
+// every process scores the same affinity engines of the prefix, though it scores few engines.
+func TestLargePoolIncludesAffinityEngines(t *testing.T) {
 	p, clock := fleetOf(1300, 0)
 	other, _ := fleetOf(1300, 0)
-	chains := someRequest(1).Prompt.Chains()
-	weighed := p.pools["s"].candidates(someRequest(1), chains)
-	qt.Check(t, len(weighed) <= homes+drawnEngines, qt.IsTrue)
-	again := other.pools["s"].candidates(someRequest(1+3*274), chains)
-	for i := range homes {
-		qt.Check(t, weighed[i].reads(), qt.IsTrue)
-		qt.Check(t, weighed[i].endpoint.ID(), qt.Equals, again[i].endpoint.ID())
+	chains := testRequest(1).Prompt.Chains()
+	candidates := p.pools["s"].candidates(testRequest(1), chains)
+	qt.Check(t, len(candidates) <= affinityEngineCount+sampledEngines, qt.IsTrue)
+	again := other.pools["s"].candidates(testRequest(1+3*274), chains)
+	for i := range affinityEngineCount {
+		qt.Check(t, candidates[i].prefillOnly(), qt.IsTrue)
+		qt.Check(t, candidates[i].endpoint.ID(), qt.Equals, again[i].endpoint.ID())
 	}
-	req := someRequest(1)
+	req := testRequest(1)
 	req.Arrived, req.Deadline = clock.Now(), clock.Now().Add(8*time.Second)
 	first, err := p.Place(req)
 	qt.Assert(t, err, qt.IsNil)
 	p.Sent(req, first).Answered()
 	clock.Advance(time.Second)
-	next := someRequest(1 + 3*274) // of the same beginning, with another key
+	next := testRequest(1 + 3*274) // same prefix, different key
 	next.Arrived, next.Deadline = clock.Now(), clock.Now().Add(8*time.Second)
 	second, err := p.Place(next)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, second.Found, qt.Equals, 512+4870)
 }
 
-// A caller is served as long as any engine is open, though none of those that are
-// drawn for its request is.
-func TestOneOpenEngineIsFound(t *testing.T) {
+// Guards against a refusal while an engine is eligible, because the sample of the request contains
+// no eligible one.
+func TestOnlyEligibleEngineIsFound(t *testing.T) {
 	p, clock := fleetOf(1300, 0)
 	for _, e := range p.pools["s"].ordered {
-		if e.endpoint.ID() != "w100" { // one that answers
+		if e.endpoint.ID() != "w100" { // a decode engine
 			p.Aside(e.endpoint.ID(), time.Minute)
 		}
 	}
 	for n := range 20 {
-		req := someRequest(n)
+		req := testRequest(n)
 		req.Arrived, req.Deadline = clock.Now(), clock.Now().Add(8*time.Second)
 		at, err := p.Place(req)
 		qt.Assert(t, err, qt.IsNil)
@@ -54,23 +54,23 @@
 	}
 }
 
-// What a process remembers of beginnings fits its memory however many engines there
-// are.
-func TestPartsAreBoundedTogether(t *testing.T) {
+// Guards against a process running out of memory for the remembered parts when the number of
+// engines grows.
+func TestPartsAreBoundedPerService(t *testing.T) {
 	for _, engines := range []int{12, 1300} {
 		t.Run(fmt.Sprint(engines), func(t *testing.T) {
 			p, _ := fleetOf(engines, 0)
 			for n := range uint64(2_000) {
 				for _, e := range p.pools["s"].ordered {
-					e.take([]uint64{n}, 10)
+					e.cacheParts([]uint64{n}, 10)
 				}
 			}
 			sum := 0
 			for _, e := range p.pools["s"].ordered {
 				sum += len(e.parts)
 			}
-			qt.Check(t, sum <= allParts, qt.IsTrue, qt.Commentf("%d", sum))
-			qt.Check(t, sum >= min(allParts/4, engines*2_000), qt.IsTrue, qt.Commentf("%d", sum))
+			qt.Check(t, sum <= maxPartsPerService, qt.IsTrue, qt.Commentf("%d", sum))
+			qt.Check(t, sum >= min(maxPartsPerService/4, engines*2_000), qt.IsTrue, qt.Commentf("%d", sum))
 		})
 	}
 }
--- a/internal/decision/placement/cost_test.go
+++ b/internal/decision/placement/cost_test.go
@@ -11,8 +11,8 @@
 	"carawayspread"
 )
 
-// fleetOf returns a placer that has heard from many peers about as many engines, a
-// third of them readers.
+// fleetOf returns a placer that has received notices from many peers about as many engines, a third
+// of them prefill engines.
 func fleetOf(engines, peers int) (*Placer, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	p := New(carawayspread.Environment{Clock: clock, Zone: "z0", Rand: rand.New(rand.NewPCG(1, 2))})
@@ -36,7 +36,7 @@
 	return p, clock
 }
 
-func someRequest(n int) carawayspread.Placing {
+func testRequest(n int) carawayspread.Placing {
 	prompt := &carawayspread.Prompt{Tokens: 12000, Most: 38, Parts: []carawayspread.Part{
 		{ID: uint64(n % 3), Tokens: 512}, {ID: uint64(100 + n%274), Tokens: 4870}, {ID: uint64(1000 + n), Tokens: 6618},
 	}}
@@ -47,14 +47,14 @@
 	}
 }
 
-// BenchmarkPlace is a placement of a prompt and what follows it, with beginnings
+// BenchmarkPlace measures the placement of a prompt and the calls that follow it, with prefixes
 // that some engines hold.
 func BenchmarkPlace(b *testing.B) {
 	for _, engines := range []int{12, 117, 1300} {
 		b.Run(fmt.Sprint(engines, " engines"), func(b *testing.B) {
 			p, clock := fleetOf(engines, 68)
 			for n := 0; b.Loop(); n++ {
-				req := someRequest(n)
+				req := testRequest(n)
 				req.Arrived, req.Deadline = clock.Now(), clock.Now().Add(8*time.Second)
 				at, err := p.Place(req)
 				if err == nil {
--- a/internal/decision/placement/engine.go
+++ b/internal/decision/placement/engine.go
@@ -8,136 +8,138 @@
 )
 
 const (
-	// startPerToken, startPerPair and startFixed shape the time that an engine
-	// reads: tokens, pairs of tokens for attention, and what each call costs.
-	// They are the order of size of large models; what counts is the shape, as
-	// the pace of each engine is learnt from its answers.
-	startPerToken = 11 * time.Microsecond
-	startPerPair  = 350 * time.Nanosecond // for a thousand pairs
-	startFixed    = 4 * time.Millisecond
-	// wholeFactor and wholePiece say how an engine that also answers reads: at
-	// half the speed, a piece at a time between the steps of its answers.
-	wholeFactor = 2
-	wholePiece  = 512
-	// stepFixed and stepPerRun shape one step of answering.
-	stepFixed  = 3 * time.Millisecond
-	stepPerRun = 120 * time.Microsecond
+	// prefillPerToken, prefillPerThousandPairs and prefillFixed give the shape of the nominal
+	// prefill time: a part for each token, a part for each thousand pairs of tokens (attention),
+	// and a fixed part for each call. They have the order of magnitude of large models. Only the
+	// shape matters, as the slowdown of each engine is learned from its answers.
+	prefillPerToken         = 11 * time.Microsecond
+	prefillPerThousandPairs = 350 * time.Nanosecond
+	prefillFixed            = 4 * time.Millisecond
+	// mixedPrefillFactor and prefillChunk describe prefill at an engine that also decodes: it runs
+	// at half the speed, one chunk of so many tokens at a time between decode steps.
+	mixedPrefillFactor = 2
+	prefillChunk       = 512
+	// stepFixed and stepPerRequest give the shape of the nominal time of one decode step.
+	stepFixed      = 3 * time.Millisecond
+	stepPerRequest = 120 * time.Microsecond
 
-	// startDelay is the part of the time to the first event that occupies
-	// nothing; it is learnt together with the pace.
-	startDelay = 30 * time.Millisecond
-	learning   = 0.1
-	// stepLearning is the weight of one event: a second of one answer.
-	stepLearning = 0.03
-	paceLow      = 0.3
-	paceHigh     = 6
-	delayHigh    = 300 * time.Millisecond
-	// undisturbed is the wait up to which an answer tells pace and delay.
+	// initialDelay is the part of the time to the first event that does not occupy the engine; it
+	// is learned together with the slowdown.
+	initialDelay = 30 * time.Millisecond
+	learningRate = 0.1
+	// stepLearningRate is the weight of one event; at this rate a second of one answer suffices.
+	stepLearningRate = 0.03
+	minSlowdown      = 0.3
+	maxSlowdown      = 6
+	maxDelay         = 300 * time.Millisecond
+	// maxUnqueuedWait is the longest expected queue wait with which an answer still updates
+	// slowdown and delay.
 	//
-	// Failure: before an engine with a queue, what waits is taken for a slow
-	// pace, which makes its queue look longer still. Symptom: under overload
-	// every engine seems several times slower than it is.
-	undisturbed = 25 * time.Millisecond
-	// behindLearning is the weight of one answer that waited: the pace of an engine
-	// three times slower than its kind is told by some fifty, two seconds at a peak.
-	behindLearning = 0.04
-	// ownError is the part of an error that is put down to pace and delay of an
-	// engine before which nothing was known to wait, in parts of what was expected;
-	// what is over that waited behind readings that are not known.
-	ownError = 0.3
-	// outlier bounds the error of one answer that pace and delay are learnt from, in
-	// parts of what was expected.
-	outlier = 2
-	// surprise bounds what one answer moves the backlog by: an answer that was held up
-	// by its connection, or by this process, says nothing of the engine, while ten of
-	// an engine that is behind follow within a second.
-	surprise = 300 * time.Millisecond
-	// relaxAfter is when what was learnt begins to fade, and relaxing how much
-	// of it goes each relaxEvery.
+	// At an engine with a queue, the wait would be taken for a slowdown, which makes the queue look
+	// longer still: under overload every engine would seem several times slower than it is.
+	maxUnqueuedWait = 25 * time.Millisecond
+	// queuedLearningRate is the weight of one answer that waited in a queue. Some fifty answers,
+	// two seconds of a peak, reveal an engine that is three times slower than the others of its
+	// role.
+	queuedLearningRate = 0.04
+	// modelErrorShare is the part of an error that is attributed to slowdown and delay of an engine
+	// with no known queue, relative to the expected time. The rest of the error is attributed to a
+	// wait behind prefills that this process does not know of.
+	modelErrorShare = 0.3
+	// maxRelativeError bounds the error of one answer that slowdown and delay are learned from,
+	// relative to the expected time.
+	maxRelativeError = 2
+	// maxBacklogCorrection bounds by how much one answer moves the backlog. An answer delayed by
+	// its connection or by this process says nothing about the engine, while an engine that is
+	// behind sends ten late answers within a second.
+	maxBacklogCorrection = 300 * time.Millisecond
+	// decayAfter is the age from which learned values decay, and decayRate the part of the
+	// difference that is removed each decayInterval.
 	//
-	// Failure: one bad answer makes an engine look slow. Symptom: it gets
-	// nothing any more, and so nothing tells that it is not. One that reads all the
-	// while is left as it is: under overload no answer tells its pace, and one that
-	// is slow would count as sound (at twice the load 0.85 of the answers in time of
-	// the full load, over 0.9 so; replayed).
-	relaxAfter = 3 * time.Second
-	relaxing   = 0.15
-	relaxEvery = 500 * time.Millisecond
-	// backlogLearning is the part of an error of the expected end that is
-	// added to what waits, at all processes: a third of it, since those that learn of
-	// the same queue at once all add theirs.
+	// Without decay, an engine that one bad answer made look slow would get no more requests, and
+	// so no answer that corrects it. An engine that prefills all the time is left as it is: under
+	// overload no answer reveals its slowdown, and a slow engine would count as sound (in a replay
+	// at twice the load, 0.85 of the answers that are in time at full load instead of over 0.9).
+	decayAfter    = 3 * time.Second
+	decayRate     = 0.15
+	decayInterval = 500 * time.Millisecond
+	// backlogLearningRate is the part of the error of an expected end that is added to the backlog,
+	// in all processes. It is about a third, since processes that observe the same queue at the
+	// same time all add their corrections.
 	//
-	// Failure: an engine is behind what is believed of it, and each process learns
-	// it from its own answers alone. Symptom: where many processes share the engines
-	// one reader had a second more before it than all thought, for seconds.
-	backlogLearning = 0.35
-	// dutyMemory is the time over which it is remembered how much an engine
-	// read: some times the reading of a long prompt.
-	dutyMemory = 1500 * time.Millisecond
-	// memoryUsed is the part of the memory that is counted on for parts.
-	memoryUsed = 0.85
-	// mostParts bounds what is remembered of one engine, and allParts of all engines
-	// of a service together, 40 bytes each: 20 MB of the 32 that a process may take
-	// for control, whatever the fleet's size.
-	mostParts = 8192
-	allParts  = 1 << 19
+	// If each process learned of an engine's unknown backlog from its own answers alone, one
+	// prefill engine shared by many processes would have a second more of queue than all of them
+	// assume, for seconds.
+	backlogLearningRate = 0.35
+	// utilizationWindow is the time constant of the prefill utilization: several times the prefill
+	// time of a long prompt.
+	utilizationWindow = 1500 * time.Millisecond
+	// usableCacheShare is the part of the engine's KV memory that is counted on to hold prompt
+	// parts.
+	usableCacheShare = 0.85
+	// maxPartsPerEngine bounds the parts remembered of one engine, and maxPartsPerService those of
+	// all engines of a service together. A part takes 40 bytes: 20 MB of the 32 that a process may
+	// use for control, whatever the size of the fleet.
+	maxPartsPerEngine  = 8192
+	maxPartsPerService = 1 << 19
 )
 
-// mark is when a part was last read or found, by the engine's count of tokens.
-type mark struct {
-	at     int64
-	tokens int
+// cacheEntry records when a part was last prefilled or used, as a position in the engine's count of
+// inserted tokens.
+type cacheEntry struct {
+	position int64
+	tokens   int
 }
 
-// engine is what is known of one endpoint. Plain services use the counts alone.
+// engine is the state known of one endpoint. Plain services use the counts alone.
 type engine struct {
-	endpoint carawayspread.Endpoint
-	hash     uint32
-	reading  time.Time // when the readings known are through; past where none waits
-	// shift sums what answers have moved reading by: what was expected before moves
-	// with it.
-	shift     time.Duration
-	pace      float64 // what reading takes against the shape
-	delay     time.Duration
-	learnt    time.Time     // when pace and delay were last told by an answer; zero for never
-	stepPace  float64       // what a step takes against the shape
-	kin       float64       // the middle pace of the readers: pieces take no less beside answers
-	own       int           // attempts of this process
-	tokens    int           // of those attempts
-	calls     int           // readings of this process that are not through
-	read      time.Duration // of the last dutyMemory, fading, as of readAt
-	readAt    time.Time
-	count     int64 // tokens that have entered the memory
-	parts     map[uint64]mark
-	mostParts int           // of parts; at least 1
-	mean      time.Duration // of whole answers; plain services
-	holds     int           // tokens of the prompt that is being placed
-	advanced  time.Time     // when it last showed that it gets on
-	open      []*stay       // attempts of this process without an answer, oldest first
-	aside     time.Time     // until when it gets nothing, as it changes its role
+	endpoint  carawayspread.Endpoint
+	hash      uint32
+	busyUntil time.Time // when the known prefills end; in the past if none is queued
+	// backlogShift sums the corrections that answers have made to busyUntil. Ends expected before a
+	// correction move with it.
+	backlogShift     time.Duration
+	slowdown         float64 // prefill time relative to the nominal one
+	delay            time.Duration
+	learnedAt        time.Time     // when an answer last updated slowdown and delay; zero for never
+	stepSlowdown     float64       // step time relative to the nominal one
+	medianSlowdown   float64       // of the prefill engines; the least slowdown of chunks beside decodes
+	ownAttempts      int           // running attempts of this process
+	ownTokens        int           // tokens of prompts and outputs of ownAttempts
+	ownPrefills      int           // prefills of this process without an answer
+	recentPrefill    time.Duration // time spent on prefill, decaying over utilizationWindow, as of recentPrefillAt
+	recentPrefillAt  time.Time
+	insertedTokens   int64 // tokens that have entered the KV memory
+	parts            map[uint64]cacheEntry
+	maxParts         int           // bound of parts; at least 1
+	meanLatency      time.Duration // of whole answers; plain services only
+	cachedPrefix     int           // cached tokens of the prompt that is being placed
+	lastProgress     time.Time     // when an answer or event last came, or a peer's count of attempts fell
+	unanswered       []*attempt    // attempts of this process without an answer, oldest first
+	unavailableUntil time.Time     // no requests until then: it changes its role, leaves, is replaced or unreachable
 }
 
 func newEngine(endpoint carawayspread.Endpoint) *engine {
-	return &engine{endpoint: endpoint, hash: hashOf(endpoint.ID()), pace: 1, delay: startDelay, stepPace: 1, parts: map[uint64]mark{}, mostParts: mostParts}
+	return &engine{endpoint: endpoint, hash: hashOf(endpoint.ID()), slowdown: 1, delay: initialDelay, stepSlowdown: 1, parts: map[uint64]cacheEntry{}, maxParts: maxPartsPerEngine}
 }
 
-// update takes the newest entry. An engine that changed its role is learnt anew.
+// update replaces the endpoint's entry. What was learned of an engine that changed its role is
+// reset.
 func (e *engine) update(endpoint carawayspread.Endpoint) {
 	if endpoint.Role() != e.endpoint.Role() {
-		e.pace, e.delay, e.learnt, e.aside = 1, startDelay, time.Time{}, time.Time{}
+		e.slowdown, e.delay, e.learnedAt, e.unavailableUntil = 1, initialDelay, time.Time{}, time.Time{}
 	}
 	e.endpoint = endpoint
 }
 
-func (e *engine) reads() bool { return e.endpoint.Role() == carawayspread.RolePrefill }
+func (e *engine) prefillOnly() bool { return e.endpoint.Role() == carawayspread.RolePrefill }
 
-// found returns the tokens at the beginning of the prompt that the engine is
-// thought to hold.
-func (e *engine) found(parts []carawayspread.Part, chains []uint64, memory int) int {
+// cachedTokens returns how many tokens at the start of the prompt the engine is assumed to hold.
+func (e *engine) cachedTokens(parts []carawayspread.Part, chains []uint64, memory int) int {
 	sum := 0
 	for i, chain := range chains {
 		m, ok := e.parts[chain]
-		if !ok || e.count-m.at > int64(float64(memory)*memoryUsed) {
+		if !ok || e.insertedTokens-m.position > int64(float64(memory)*usableCacheShare) {
 			break
 		}
 		sum += parts[i].Tokens
@@ -145,158 +147,161 @@
 	return sum
 }
 
-// wait returns how long a new reading waits for those before it.
-func (e *engine) wait(now time.Time) time.Duration { return max(0, e.reading.Sub(now)) }
+// wait returns how long a new prefill waits for those queued before it.
+func (e *engine) wait(now time.Time) time.Duration { return max(0, e.busyUntil.Sub(now)) }
 
-// begin counts a reading.
-func (e *engine) begin(now time.Time, work time.Duration) (start, end time.Time) {
-	start = later(now, e.reading)
-	e.reading = start.Add(work)
-	e.read = e.fading(now) + work
-	e.readAt = now
-	return start, e.reading
+// addPrefill appends a prefill to the backlog and returns its expected start and end.
+func (e *engine) addPrefill(now time.Time, work time.Duration) (start, end time.Time) {
+	start = later(now, e.busyUntil)
+	e.busyUntil = start.Add(work)
+	e.recentPrefill = e.decayedPrefill(now) + work
+	e.recentPrefillAt = now
+	return start, e.busyUntil
 }
 
-func (e *engine) fading(now time.Time) time.Duration {
-	return time.Duration(float64(e.read) * math.Exp(-float64(now.Sub(e.readAt))/float64(dutyMemory)))
+func (e *engine) decayedPrefill(now time.Time) time.Duration {
+	return time.Duration(float64(e.recentPrefill) * math.Exp(-float64(now.Sub(e.recentPrefillAt))/float64(utilizationWindow)))
 }
 
-// duty returns the part of the time that the engine spends on reading.
-func (e *engine) duty(now time.Time) float64 {
-	return min(1, float64(e.fading(now))/float64(dutyMemory))
+// prefillUtilization returns the part of the time that the engine spends on prefill, from 0 to 1.
+func (e *engine) prefillUtilization(now time.Time) float64 {
+	return min(1, float64(e.decayedPrefill(now))/float64(utilizationWindow))
 }
 
-// token returns the time between two tokens of an answer: a step, and between
-// the steps the pieces of prompts that the engine reads.
-func (e *engine) token(now time.Time, running int) time.Duration {
-	piece := time.Duration(float64(wholePiece*wholeFactor*startPerToken) * e.pace)
-	return time.Duration(float64(step(running))*max(1, e.pace)) + time.Duration(e.duty(now)*float64(piece))
+// interTokenLatency returns the expected time between two tokens of an answer: a decode step, and
+// the prefill chunks that run between steps.
+func (e *engine) interTokenLatency(now time.Time, running int) time.Duration {
+	chunk := time.Duration(float64(prefillChunk*mixedPrefillFactor*prefillPerToken) * e.slowdown)
+	return time.Duration(float64(nominalStepTime(running))*max(1, e.slowdown)) + time.Duration(e.prefillUtilization(now)*float64(chunk))
 }
 
-// pause returns the longest time expected between two events of the answers that
-// run at the engine, when so much is to be read there of prompts of about so many
-// tokens: a piece goes between any two steps of an event until all is read.
-func (e *engine) pause(running, stride int, reading time.Duration, tokens int) time.Duration {
-	pairs := time.Duration(int64(wholePiece) * int64(tokens) / 1000)
-	piece := wholeFactor * (wholePiece*startPerToken + pairs*startPerPair)
-	pieces := time.Duration(float64(stride) * float64(piece) * max(e.pace, e.kin))
-	return time.Duration(stride)*e.step(running) + min(reading, pieces)
+// eventGap returns the longest expected time between two events of the answers that run at the
+// engine, with the given prefill time pending there for prompts of about so many tokens: a chunk
+// runs between any two steps of an event until all prompts are prefilled.
+func (e *engine) eventGap(running, stride int, pending time.Duration, tokens int) time.Duration {
+	pairs := time.Duration(int64(prefillChunk) * int64(tokens) / 1000)
+	chunk := mixedPrefillFactor * (prefillChunk*prefillPerToken + pairs*prefillPerThousandPairs)
+	chunks := time.Duration(float64(stride) * float64(chunk) * max(e.slowdown, e.medianSlowdown))
+	return time.Duration(stride)*e.stepTime(running) + min(pending, chunks)
 }
 
-// paused learns what a step takes from the time between two events of an answer
-// between which nothing was read.
-func (e *engine) paused(from, to time.Time, stride, running int) {
-	if !e.reading.After(from) {
-		seen := min(paceHigh, float64(to.Sub(from))/float64(stride)/float64(step(running)))
-		e.stepPace += stepLearning * (seen - e.stepPace)
+// learnStepTime updates the step slowdown from the time between two events of an answer, if no
+// prefill ran between them.
+func (e *engine) learnStepTime(from, to time.Time, stride, running int) {
+	if !e.busyUntil.After(from) {
+		measured := min(maxSlowdown, float64(to.Sub(from))/float64(stride)/float64(nominalStepTime(running)))
+		e.stepSlowdown += stepLearningRate * (measured - e.stepSlowdown)
 	}
 }
 
-// step returns the time of one step of answering beside so many answers.
-func (e *engine) step(running int) time.Duration {
-	return time.Duration(float64(step(running)) * e.stepPace)
+// stepTime returns the expected time of one decode step with so many answers running.
+func (e *engine) stepTime(running int) time.Duration {
+	return time.Duration(float64(nominalStepTime(running)) * e.stepSlowdown)
 }
 
-// relax moves what was learnt long ago towards what holds for its kind.
-func (e *engine) relax(now time.Time, pace float64) {
-	if !e.learnt.IsZero() && now.Sub(later(e.learnt, e.readAt)) > relaxAfter {
-		e.pace += relaxing * (pace - e.pace)
+// decay moves a slowdown that was not updated for long towards the median of the engine's role.
+func (e *engine) decay(now time.Time, median float64) {
+	if !e.learnedAt.IsZero() && now.Sub(later(e.learnedAt, e.recentPrefillAt)) > decayAfter {
+		e.slowdown += decayRate * (median - e.slowdown)
 	}
 }
 
-// step returns the time of one step of answering beside so many answers.
-func step(running int) time.Duration {
-	return stepFixed + time.Duration(running)*stepPerRun
+// nominalStepTime returns the time of one decode step with so many answers running, at slowdown 1.
+func nominalStepTime(running int) time.Duration {
+	return stepFixed + time.Duration(running)*stepPerRequest
 }
 
-// work returns the time that reading takes.
-func (e *engine) work(tokens, found, running int) time.Duration {
-	fresh := max(0, tokens-found)
-	pairs := (int64(tokens)*int64(tokens) - int64(found)*int64(found)) / 2000
-	d := time.Duration(fresh)*startPerToken + time.Duration(pairs)*startPerPair
-	if !e.reads() {
-		pieces := 1 + fresh/wholePiece
-		d = wholeFactor*d + time.Duration(pieces)*step(running)
+// prefillTime returns the expected time of a prefill of tokens, of which cached are held already.
+func (e *engine) prefillTime(tokens, cached, running int) time.Duration {
+	uncached := max(0, tokens-cached)
+	pairs := (int64(tokens)*int64(tokens) - int64(cached)*int64(cached)) / 2000
+	d := time.Duration(uncached)*prefillPerToken + time.Duration(pairs)*prefillPerThousandPairs
+	if !e.prefillOnly() {
+		chunks := 1 + uncached/prefillChunk
+		d = mixedPrefillFactor*d + time.Duration(chunks)*nominalStepTime(running)
 	}
-	return time.Duration(float64(d+startFixed) * e.pace)
+	return time.Duration(float64(d+prefillFixed) * e.slowdown)
 }
 
-// take marks the parts as held and counts the tokens that come in.
-func (e *engine) take(chains []uint64, tokens int) {
-	e.count += int64(tokens)
+// cacheParts marks the parts as held and adds the tokens that enter the KV memory.
+func (e *engine) cacheParts(chains []uint64, tokens int) {
+	e.insertedTokens += int64(tokens)
 	for _, chain := range chains {
-		e.parts[chain] = mark{at: e.count}
+		e.parts[chain] = cacheEntry{position: e.insertedTokens}
 	}
-	if len(e.parts) > e.mostParts {
+	if len(e.parts) > e.maxParts {
 		e.prune()
 	}
 }
 
-// prune forgets the older half of the parts.
+// prune forgets the parts in the older half of the engine's count of inserted tokens.
 func (e *engine) prune() {
-	oldest := e.count
+	oldest := e.insertedTokens
 	for _, m := range e.parts {
-		oldest = min(oldest, m.at)
+		oldest = min(oldest, m.position)
 	}
-	middle := oldest + (e.count-oldest)/2
+	middle := oldest + (e.insertedTokens-oldest)/2
 	for chain, m := range e.parts {
-		if m.at <= middle {
+		if m.position <= middle {
 			delete(e.parts, chain)
 		}
 	}
 }
 
-// answered learns pace, delay and backlog from the answer to a reading of this
+// learnFromPrefill updates slowdown, delay and backlog from the answer to a prefill of this
 // process, and returns by how much the backlog has moved.
 //
-// Pace and delay follow by normalised least mean squares, in units of
-// startDelay: short prompts tell the delay, long ones the pace. Each process keeps
-// to its own answers there: told to all, answers that waited behind readings nobody
-// knew of made every engine look slow to everyone (0.709 for 0.740 of what is owed
-// before 117 engines).
-func (e *engine) answered(now time.Time, s *stay) time.Duration {
-	work := s.end.Sub(s.start)
-	own := time.Duration(ownError * float64(work+e.delay))
-	off := now.Sub(e.through(s)) - e.delay
-	if s.start.Sub(s.sent) < undisturbed {
-		read := s.explained(now.Sub(s.start) - e.delay)
-		e.learn(now, min(now.Sub(s.start), (1+outlier)*(read+e.delay)), float64(read)/s.pace)
-	} else if s.pool != nil {
-		e.fellBehind(now, s.pool.outlying(e.reads(), float64(off)/float64(work)))
+// Slowdown and delay follow by normalised least mean squares, in units of initialDelay: short
+// prompts determine the delay, long ones the slowdown. Each process learns them from its own
+// answers alone. When they were shared with all processes, answers that waited behind unknown
+// prefills made every engine look slow to every process (0.709 instead of 0.740 of the answers
+// owed, with 117 engines).
+func (e *engine) learnFromPrefill(now time.Time, a *attempt) time.Duration {
+	work := a.expectedEnd.Sub(a.expectedStart)
+	modelError := time.Duration(modelErrorShare * float64(work+e.delay))
+	lateness := now.Sub(e.expectedEnd(a)) - e.delay
+	if a.expectedStart.Sub(a.sentAt) < maxUnqueuedWait {
+		attributed := a.attributableWork(now.Sub(a.expectedStart) - e.delay)
+		e.learn(now, min(now.Sub(a.expectedStart), (1+maxRelativeError)*(attributed+e.delay)), float64(attributed)/a.slowdown)
+	} else if a.pool != nil {
+		e.learnFromQueued(now, a.pool.excessLag(e.prefillOnly(), float64(lateness)/float64(work)))
 	}
-	off -= max(-own, min(own, off))
-	late := time.Duration(backlogLearning * float64(max(-surprise, min(surprise, off))))
-	e.shiftBy(late)
-	return late
+	lateness -= max(-modelError, min(modelError, lateness))
+	correction := time.Duration(backlogLearningRate * float64(max(-maxBacklogCorrection, min(maxBacklogCorrection, lateness))))
+	e.shiftBacklog(correction)
+	return correction
 }
 
-// through returns when a reading is expected to be through, by what was learnt of
-// the engine's backlog since it was sent.
-func (e *engine) through(s *stay) time.Time { return s.end.Add(e.shift - s.shift) }
+// expectedEnd returns when a prefill is expected to end, given the corrections of the engine's
+// backlog since it was sent.
+func (e *engine) expectedEnd(a *attempt) time.Time {
+	return a.expectedEnd.Add(e.backlogShift - a.backlogShift)
+}
 
-// shiftBy moves the backlog, and what is expected of readings under way with it.
-func (e *engine) shiftBy(late time.Duration) {
-	e.reading = e.reading.Add(late)
-	e.shift += late
+// shiftBacklog moves the backlog and the expected ends of the prefills in progress.
+func (e *engine) shiftBacklog(by time.Duration) {
+	e.busyUntil = e.busyUntil.Add(by)
+	e.backlogShift += by
 }
 
-// fellBehind corrects the pace by how much later than the others of its kind an
-// answer that waited was, in parts of what was expected.
+// learnFromQueued corrects the slowdown by how much later than those of other engines of the role
+// an answer that waited in a queue was, relative to the expected time.
 //
-// A slow engine that always has a queue would get as much as the others, since only an
-// answer that did not wait tells a pace. What all are late by is the load, and comes off.
-func (e *engine) fellBehind(now time.Time, by float64) {
-	e.pace = min(paceHigh, max(paceLow, e.pace+behindLearning*by))
-	e.learnt = now
+// Only an answer that did not wait updates the slowdown directly, so a slow engine that always has
+// a queue would otherwise get as many requests as the others. Lateness that all engines share comes
+// from the load and is subtracted by the caller.
+func (e *engine) learnFromQueued(now time.Time, lateness float64) {
+	e.slowdown = min(maxSlowdown, max(minSlowdown, e.slowdown+queuedLearningRate*lateness))
+	e.learnedAt = now
 }
 
-// learn corrects pace and delay by what a reading took that would take shape at an
-// engine of pace one.
-func (e *engine) learn(now time.Time, took time.Duration, shape float64) {
-	x := shape / float64(startDelay)
-	off := float64(took) - shape*e.pace - float64(e.delay)
-	step := learning * off / (1 + x*x)
-	e.delay = min(delayHigh, max(0, e.delay+time.Duration(step)))
-	e.learnt = now
-	e.pace = min(paceHigh, max(paceLow, e.pace+step/float64(startDelay)*x))
+// learn updates slowdown and delay from the measured time of a prefill that takes the nominal time
+// at slowdown 1.
+func (e *engine) learn(now time.Time, took time.Duration, nominal float64) {
+	x := nominal / float64(initialDelay)
+	deviation := float64(took) - nominal*e.slowdown - float64(e.delay)
+	correction := learningRate * deviation / (1 + x*x)
+	e.delay = min(maxDelay, max(0, e.delay+time.Duration(correction)))
+	e.learnedAt = now
+	e.slowdown = min(maxSlowdown, max(minSlowdown, e.slowdown+correction/float64(initialDelay)*x))
 }
--- a/internal/decision/placement/fairness.go
+++ b/internal/decision/placement/fairness.go
@@ -3,71 +3,72 @@
 import "carawayspread"
 
 const (
-	// largest is the part of a route's requests that counts as its largest.
-	largest = 0.12
-	// quantileStep moves the estimate of the size at which the largest begin,
-	// in parts of itself for each request: it follows a shift of the mix
-	// within some hundred requests.
+	// largestShare is the part of a route's requests that counts as its largest.
+	largestShare = 0.12
+	// quantileStep is the relative step by which each request moves the estimate of the size at
+	// which the largest requests begin; it follows a shift of the mix within some hundred requests.
 	quantileStep = 0.05
-	// fairMemory is the number of requests over which shares are remembered.
-	fairMemory = 150
-	// fairShare is how often the largest are to be taken against the others;
-	// fairRange is the lag below it at which they get the most patience.
-	fairShare = 0.65
-	fairRange = 0.1
-	// fairPatience is what the largest are granted beside at the most, in
-	// parts of the time that they would take were nothing else there.
-	fairPatience = 1.0
+	// fairnessWindow is the number of requests over which admission shares are averaged.
+	fairnessWindow = 150
+	// minAdmissionRatio is the admission share that the largest requests should have, relative to
+	// that of the others. fullToleranceLag is the lag below it at which they get the full extra
+	// tolerance.
+	minAdmissionRatio = 0.65
+	fullToleranceLag  = 0.1
+	// maxExtraTolerance is the most extra tolerance that the largest requests get, relative to the
+	// time that they would take without a queue.
+	maxExtraTolerance = 1.0
 )
 
-// fairness keeps the largest requests of a route from being refused for their
-// size alone.
+// fairness keeps the largest requests of a route from being refused because of their size alone.
 //
-// Failure: whatever engines and targets are, there is a size from which no
-// request can be in time, and refusing it serves all others. Symptom: the
-// largest requests of a class are hardly ever answered. They get the more
-// patience the further they lag behind the others of their route.
+// For any engines and targets there is a size from which no request can meet the target, and
+// refusing those requests helps all others; the largest requests of a class would hardly ever be
+// answered. They get the more tolerance the further their admission share lags behind that of the
+// other requests of the route.
 type fairness struct {
-	from  float64    // size from which a request is one of the largest
-	asked [2]float64 // fading counts of fresh requests; the largest second
-	taken [2]float64 // of those that were taken, at once or when they came back
+	threshold float64    // size from which a request is one of the largest
+	arrived   [2]float64 // decaying counts of first submissions; index 1 for the largest
+	admitted  [2]float64 // decaying counts of admitted requests, first submissions and retries
 }
 
-// weight is the work of a request in tokens, with a token of the answer at
-// what it costs against one of the prompt.
-func weight(p *carawayspread.Prompt) float64 { return float64(p.Tokens) + 10*float64(size(p)-p.Tokens) }
+// weightedTokens returns the work of a request in prompt tokens; an output token counts as ten.
+func weightedTokens(p *carawayspread.Prompt) float64 {
+	return float64(p.Tokens) + 10*float64(sequenceTokens(p)-p.Tokens)
+}
 
-// ask counts a fresh request and returns which kind it is.
-func (f *fairness) ask(size float64) int {
-	if f.from == 0 {
-		f.from = size
+// recordArrival counts the first submission of a request and returns its kind: 1 for the largest, 0
+// for others.
+func (f *fairness) recordArrival(size float64) int {
+	if f.threshold == 0 {
+		f.threshold = size
 	}
 	kind := f.kind(size)
 	if kind == 1 {
-		f.from += quantileStep * f.from * (1 - largest)
+		f.threshold += quantileStep * f.threshold * (1 - largestShare)
 	} else {
-		f.from -= quantileStep * f.from * largest
+		f.threshold -= quantileStep * f.threshold * largestShare
 	}
-	f.asked[kind] += 1 - f.asked[kind]/fairMemory
-	f.taken[kind] -= f.taken[kind] / fairMemory
+	f.arrived[kind] += 1 - f.arrived[kind]/fairnessWindow
+	f.admitted[kind] -= f.admitted[kind] / fairnessWindow
 	return kind
 }
 
 func (f *fairness) kind(size float64) int {
-	if size > f.from {
+	if size > f.threshold {
 		return 1
 	}
 	return 0
 }
 
-// take counts a request that is taken.
-func (f *fairness) take(kind int) { f.taken[kind]++ }
+// recordAdmission counts an admitted request.
+func (f *fairness) recordAdmission(kind int) { f.admitted[kind]++ }
 
-// grant returns the patience that a request gets beside the usual.
-func (f *fairness) grant(kind int) float64 {
-	if kind == 0 || f.asked[0] < 1 || f.asked[1] < 1 {
+// extraTolerance returns the tolerance that a request gets in addition to the usual one.
+func (f *fairness) extraTolerance(kind int) float64 {
+	if kind == 0 || f.arrived[0] < 1 || f.arrived[1] < 1 {
 		return 0
 	}
-	lag := fairShare*f.taken[0]/f.asked[0] - f.taken[1]/f.asked[1]
-	return fairPatience * min(1, max(0, lag/fairRange))
+	lag := minAdmissionRatio*f.admitted[0]/f.arrived[0] - f.admitted[1]/f.arrived[1]
+	return maxExtraTolerance * min(1, max(0, lag/fullToleranceLag))
 }
--- a/internal/decision/placement/fetch.go
+++ b/internal/decision/placement/fetch.go
@@ -7,59 +7,61 @@
 )
 
 const (
-	// fetchSetUp is what getting parts from another engine takes beside their bytes.
-	fetchSetUp = 6 * time.Millisecond
-	// fetchPrice is what fetching a token costs beside its time: the token is held
-	// twice then, and pushes another out. It stays near againPrice, as cheap fetching
-	// turns memories over until more is prefilled again than without it.
+	// fetchSetup is the fixed time of fetching parts from another engine, in addition to the
+	// transfer of their bytes.
+	fetchSetup = 6 * time.Millisecond
+	// fetchPrice is the price of fetching a token, in addition to its time: the token is then held
+	// twice and evicts another one. It stays close to recomputePrice, as cheaper fetching turns
+	// over the KV memories until more is prefilled again than without it.
 	fetchPrice = 80 * time.Microsecond
 )
 
-// sources are the engines that hold most of a prompt, one for each zone.
-type sources struct {
-	most   int
-	byZone map[string]*engine
-	any    *engine
+// cacheSources are the prefill engines that hold the most tokens of a prompt, one for each zone.
+type cacheSources struct {
+	cachedTokens int
+	byZone       map[string]*engine
+	anyZone      *engine
 }
 
-// find notes what each open engine holds of the prompt, and returns who holds most.
-func (pool *pool) find(now time.Time, engines []*engine, req carawayspread.Placing, chains []uint64) sources {
-	var s sources
+// findSources sets cachedPrefix of each eligible engine for the prompt, and returns the engines
+// that hold the most of it.
+func (pool *pool) findSources(now time.Time, engines []*engine, req carawayspread.Placing, chains []uint64) cacheSources {
+	var s cacheSources
 	for _, e := range engines {
-		if !pool.open(now, e, req) {
+		if !pool.eligible(now, e, req) {
 			continue
 		}
-		e.holds = e.found(req.Prompt.Parts, chains, req.Service.Engine.KVTokens)
-		if !e.reads() {
+		e.cachedPrefix = e.cachedTokens(req.Prompt.Parts, chains, req.Service.Engine.KVTokens)
+		if !e.prefillOnly() {
 			continue
 		}
-		if e.holds > s.most {
-			s = sources{most: e.holds, byZone: map[string]*engine{}, any: e}
+		if e.cachedPrefix > s.cachedTokens {
+			s = cacheSources{cachedTokens: e.cachedPrefix, byZone: map[string]*engine{}, anyZone: e}
 		}
-		if e.holds == s.most && s.most > 0 {
+		if e.cachedPrefix == s.cachedTokens && s.cachedTokens > 0 {
 			s.byZone[e.endpoint.Zone()] = e
 		}
 	}
 	return s
 }
 
-// fetch returns where the engine gets the rest of what is held, and how long that
-// takes; nil where reading it there is as fast.
+// fetchSource returns the engine from which e fetches the rest of the cached prefix, and how long
+// that takes. It returns nil where prefilling the rest is as fast.
 //
-// A prefix that one engine holds would be prefilled again by another while the first has a
-// queue, though a link brings it in a tenth of the time or less.
-func (s sources) fetch(e *engine, traits *carawayspread.EngineTraits, reading time.Duration) (*engine, time.Duration) {
-	if !traits.Fetches || traits.LinkBits <= 0 || e.holds >= s.most {
+// Without it, a prefix that one engine holds is prefilled again by another while the first has a
+// queue, though a link transfers it in a tenth of the time or less.
+func (s cacheSources) fetchSource(e *engine, traits *carawayspread.EngineTraits, prefillTime time.Duration) (*engine, time.Duration) {
+	if !traits.Fetches || traits.LinkBits <= 0 || e.cachedPrefix >= s.cachedTokens {
 		return nil, 0
 	}
-	from, zones := s.byZone[e.endpoint.Zone()], time.Duration(1)
-	if from == nil {
-		from, zones = s.any, zoneFactor
+	source, factor := s.byZone[e.endpoint.Zone()], time.Duration(1)
+	if source == nil {
+		source, factor = s.anyZone, crossZoneFactor
 	}
-	bits := float64(s.most-e.holds) * float64(traits.TokenBytes) * 8
-	takes := fetchSetUp + zones*time.Duration(bits/float64(traits.LinkBits)*float64(time.Second))
-	if takes >= reading {
+	bits := float64(s.cachedTokens-e.cachedPrefix) * float64(traits.TokenBytes) * 8
+	fetchTime := fetchSetup + factor*time.Duration(bits/float64(traits.LinkBits)*float64(time.Second))
+	if fetchTime >= prefillTime {
 		return nil, 0
 	}
-	return from, takes
+	return source, fetchTime
 }
--- a/internal/decision/placement/fetch_test.go
+++ b/internal/decision/placement/fetch_test.go
@@ -10,12 +10,11 @@
 	"carawayspread"
 )
 
-// Callers whose prompts begin like one that was read wait neither in the queue of the
-// engine that read it nor for another to read it anew: another gets it from there,
-// from the same availability zone where it can. Where the engine's queue is short,
-// where engines do not fetch, or where the link is slower than reading, nothing is
-// fetched.
-func TestBeginningIsFetchedFromWhereItIsHeld(t *testing.T) {
+// Guards against prompts with a cached prefix that wait in the queue of the engine that holds it,
+// or for another engine to prefill it again: another engine fetches it, from the same availability
+// zone if possible. Nothing is fetched where the engine's queue is short, where engines do not
+// fetch, or where the link is slower than prefill.
+func TestPrefixIsFetchedFromEngineThatHoldsIt(t *testing.T) {
 	const fast, slow = 1e12, 1e8
 	for name, c := range map[string]struct {
 		queue   time.Duration
@@ -24,10 +23,10 @@
 		to      carawayspread.EndpointID
 		from    carawayspread.EndpointID
 	}{
-		"a long queue":        {2 * time.Second, true, fast, "other", "holds"},
-		"a short queue":       {10 * time.Millisecond, true, fast, "holds", ""},
-		"engines that do not": {5 * time.Second, false, fast, "other", ""},
-		"a slow link":         {5 * time.Second, true, slow, "other", ""},
+		"a long queue":              {2 * time.Second, true, fast, "other", "holds"},
+		"a short queue":             {10 * time.Millisecond, true, fast, "holds", ""},
+		"engines that do not fetch": {5 * time.Second, false, fast, "other", ""},
+		"a slow link":               {5 * time.Second, true, slow, "other", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClockAt(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
@@ -62,7 +61,7 @@
 			qt.Check(t, at.Fetch.ID(), qt.Equals, c.from)
 			qt.Check(t, at.Found, qt.Equals, 13000)
 			qt.Check(t, at.Fetched, qt.Equals, 13000)
-			qt.Check(t, at.Fetching > fetchSetUp, qt.IsTrue)
+			qt.Check(t, at.Fetching > fetchSetup, qt.IsTrue)
 		})
 	}
 }
--- a/internal/decision/placement/leaving_test.go
+++ b/internal/decision/placement/leaving_test.go
@@ -10,9 +10,9 @@
 	"carawayspread"
 )
 
-// In a large fleet the list takes seconds to reach all processes: one that has it tells
-// the others which endpoints leave, since those would be sent requests until then.
-func TestPeersHearOfAnEndpointThatLeavesBeforeTheList(t *testing.T) {
+// Guards against requests sent to a leaving endpoint. In a large fleet the endpoint list takes
+// seconds to reach all processes; one that has it notifies its peers of the endpoints that leave.
+func TestPeersLearnOfLeavingEndpointBeforeList(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	list := func(leaving bool) []carawayspread.Endpoint {
 		return []carawayspread.Endpoint{
@@ -20,37 +20,37 @@
 			carawayspread.NewEndpoint("b", "s", "z", "10.0.0.2:1", false),
 		}
 	}
-	var told []carawayspread.Notice
-	knows := New(carawayspread.Environment{Clock: clock, Zone: "z", Tell: func(n carawayspread.Notice) { told = append(told, n) }})
-	waits := New(carawayspread.Environment{Clock: clock, Zone: "z"})
-	knows.SetEndpoints("s", list(false))
-	waits.SetEndpoints("s", list(false))
-	qt.Check(t, told, qt.HasLen, 0)
-	knows.SetEndpoints("s", list(true))
-	waits.Heard("knows", told)
+	var notices []carawayspread.Notice
+	informed := New(carawayspread.Environment{Clock: clock, Zone: "z", Tell: func(n carawayspread.Notice) { notices = append(notices, n) }})
+	uninformed := New(carawayspread.Environment{Clock: clock, Zone: "z"})
+	informed.SetEndpoints("s", list(false))
+	uninformed.SetEndpoints("s", list(false))
+	qt.Check(t, notices, qt.HasLen, 0)
+	informed.SetEndpoints("s", list(true))
+	uninformed.Heard("knows", notices)
 	req := carawayspread.Placing{
 		Route: &carawayspread.Route{Name: "r", Target: time.Second}, Service: carawayspread.RoutedService{Name: "s"},
 		Arrived: clock.Now(), Deadline: clock.Now().Add(time.Minute),
 	}
 	for key := range uint64(8) {
 		req.Key = key
-		at, err := waits.Place(req)
+		at, err := uninformed.Place(req)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, at.Endpoint.ID(), qt.Equals, carawayspread.EndpointID("b"))
 	}
-	told = nil
-	knows.SetEndpoints("s", list(true))
-	qt.Check(t, told, qt.HasLen, 0, qt.Commentf("once"))
-	waits.env.Tell = func(n carawayspread.Notice) { told = append(told, n) }
-	waits.SetEndpoints("s", list(true))
-	qt.Check(t, told, qt.HasLen, 0, qt.Commentf("it is known by now"))
-	clock.Advance(leavingFor)
-	waits.SetEndpoints("s", list(false))
+	notices = nil
+	informed.SetEndpoints("s", list(true))
+	qt.Check(t, notices, qt.HasLen, 0, qt.Commentf("once"))
+	uninformed.env.Tell = func(n carawayspread.Notice) { notices = append(notices, n) }
+	uninformed.SetEndpoints("s", list(true))
+	qt.Check(t, notices, qt.HasLen, 0, qt.Commentf("peers have been notified already"))
+	clock.Advance(leavingDuration)
+	uninformed.SetEndpoints("s", list(false))
 	for key := range uint64(8) {
 		req.Key = key
-		if at, err := waits.Place(req); err == nil && at.Endpoint.ID() == "a" {
+		if at, err := uninformed.Place(req); err == nil && at.Endpoint.ID() == "a" {
 			return
 		}
 	}
-	t.Error("what a peer says of an endpoint holds until the list is there, and no longer")
+	t.Error("a peer's notice outlasts leavingDuration")
 }
--- a/internal/decision/placement/load.go
+++ b/internal/decision/placement/load.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// peerLife is how long the account of a silent peer counts.
-	peerLife = 3 * time.Second
-	// lookEvery is the time between two looks for silent peers.
-	lookEvery = 100 * time.Millisecond
+	// peerTimeout is how long the load of a silent peer is counted.
+	peerTimeout = 3 * time.Second
+	// expireInterval is the time between two checks for silent peers.
+	expireInterval = 100 * time.Millisecond
 )
 
-// load is what a process says of its attempts at one endpoint.
+// load is the load of one process at one endpoint: running attempts and their tokens.
 type load struct{ running, tokens int }
 
 func (l load) plus(other load) load { return load{l.running + other.running, l.tokens + other.tokens} }
@@ -23,58 +23,57 @@
 }
 
 type peer struct {
-	heard time.Time
-	loads map[uint32]load // none that is zero
+	lastHeard time.Time
+	loads     map[uint32]load // without zero loads
 }
 
-// loads sums what peers say of each endpoint.
+// loads sums the loads that peers report of each endpoint.
 //
-// Load pattern: a process hears some hundred messages a second and asks for the
-// load of every engine at each placement and each event of an answer. Adding up
-// all peers there grew with peers times engines: 8,000 look-ups for a placement
-// before 117 engines among 68 processes.
+// A process receives some hundred messages a second and reads the load of every engine at each
+// placement and at each event of an answer. Summing over all peers there grew with peers times
+// engines: 8,000 look-ups for a placement with 117 engines and 68 processes.
 type loads struct {
-	peers  map[string]*peer
-	sums   map[uint32]load
-	looked time.Time
+	peers       map[string]*peer
+	sums        map[uint32]load
+	lastExpired time.Time
 }
 
 func newLoads() *loads { return &loads{peers: map[string]*peer{}, sums: map[uint32]load{}} }
 
-// at returns what all peers that are heard say of an endpoint.
+// at returns the load of all live peers at an endpoint.
 func (l *loads) at(now time.Time, hash uint32) load {
-	if now.Sub(l.looked) >= lookEvery {
-		l.looked = now
+	if now.Sub(l.lastExpired) >= expireInterval {
+		l.lastExpired = now
 		l.expire(now)
 	}
 	return l.sums[hash]
 }
 
-// expire forgets peers that have fallen silent, whose attempts have ended or will.
+// expire removes the peers whose timeout has passed; their attempts have ended or will end.
 func (l *loads) expire(now time.Time) {
 	for name, p := range l.peers {
-		if now.Sub(p.heard) < peerLife {
+		if now.Sub(p.lastHeard) < peerTimeout {
 			continue
 		}
-		for hash, gone := range p.loads {
-			l.add(hash, load{}.minus(gone))
+		for hash, old := range p.loads {
+			l.add(hash, load{}.minus(old))
 		}
 		delete(l.peers, name)
 	}
 }
 
-// heard takes note that a peer lives.
-func (l *loads) heard(now time.Time, from string) *peer {
+// touch records that a peer is alive, and returns its entry.
+func (l *loads) touch(now time.Time, from string) *peer {
 	p := l.peers[from]
 	if p == nil {
 		p = &peer{loads: map[uint32]load{}}
 		l.peers[from] = p
 	}
-	p.heard = now
+	p.lastHeard = now
 	return p
 }
 
-// set takes what a peer says of an endpoint, and returns what it said before.
+// set replaces a peer's load at an endpoint and returns the previous one.
 func (l *loads) set(p *peer, n carawayspread.Notice) load {
 	before, next := p.loads[n.Endpoint], load{n.Running, n.Tokens}
 	if next == (load{}) {
--- a/internal/decision/placement/placer.go
+++ b/internal/decision/placement/placer.go
@@ -1,19 +1,18 @@
-// Package placement decides where requests run, and which are refused.
+// Package placement decides on which engine a request is prefilled and decoded, and which requests
+// are refused.
 //
-// Load pattern: prompts of very different length arrive at several processes,
-// share their beginnings, and are read either by engines that only read or,
-// slower, by those that also answer. Without this, long prompts queue before
-// some engines while others idle, shared beginnings are read again and again,
-// and every process sends its next request to the engine that looked free to
-// all of them.
+// Prompts of very different length arrive at several processes and share prefixes. They are
+// prefilled by engines that only prefill or, more slowly, by engines that also decode. With plain
+// load balancing, long prompts queue at some engines while others idle, shared prefixes are
+// prefilled again and again, and every process sends its next request to the engine that looked
+// free to all of them.
 //
-// Each process keeps, for each engine, when the readings known are through and
-// which parts of prompts it holds, and tells its peers of each placement. A
-// request goes where its first event is expected first, at a price for the
-// engine's time that it takes from others. One that cannot be answered while
-// its caller waits is refused at once.
+// Each process keeps, for each engine, when the known prefills end and which parts of prompts the
+// engine holds, and notifies its peers of each placement. A request goes to the engine with the
+// earliest expected first event, after adding a price for the engine time that it takes from other
+// requests. A request that cannot be answered while its caller waits is refused at once.
 //
-// With nothing heard, the process knows its own placements alone.
+// A process that receives no notices knows its own placements only.
 package placement
 
 import (
@@ -27,89 +26,92 @@
 )
 
 const (
-	// handOver is what moving a KV cache costs beside its bytes.
-	handOver = 6 * time.Millisecond
-	// zoneFactor is how much longer a KV cache takes between zones.
-	zoneFactor = 2
-	// otherZone and otherZoneByte are the time that staying in the zone is worth.
-	otherZone     = 3 * time.Millisecond
-	otherZoneByte = 2 * time.Microsecond
-	// transferPrice is what a millisecond of a link between engines costs that moves a KV
-	// cache, and otherZoneTransfer how often that is between zones: operators pay for what
-	// crosses them, and other traffic shares those links.
-	transferPrice     = 8
-	otherZoneTransfer = 3
-	// transferPriceMost bounds it, in parts of the target: no answer is late to spare a link.
-	transferPriceMost = 0.25
-	// workPrice is what a millisecond of an engine is worth against one of the
-	// request's own waiting.
+	// handoffDelay is the fixed time of moving a KV cache, in addition to the transfer of its
+	// bytes.
+	handoffDelay = 6 * time.Millisecond
+	// crossZoneFactor is how much longer a KV cache transfer takes between zones.
+	crossZoneFactor = 2
+	// crossZonePrice and crossZoneBytePrice are the prices of a request, and of each of its bytes,
+	// that crosses to another zone.
+	crossZonePrice     = 3 * time.Millisecond
+	crossZoneBytePrice = 2 * time.Microsecond
+	// transferPrice is the price of a millisecond of a link between engines that moves a KV cache,
+	// and crossZoneTransferFactor multiplies it between zones: operators pay for traffic between
+	// zones, and other traffic shares those links.
+	transferPrice           = 8
+	crossZoneTransferFactor = 3
+	// maxTransferPrice bounds the price of a transfer, relative to the target, so that no answer is
+	// late to spare a link.
+	maxTransferPrice = 0.25
+	// workPrice is the price of a millisecond of engine time, relative to a millisecond of the
+	// request's own wait.
 	workPrice = 0.6
-	// againPrice is what reading a token costs that another engine holds, beside
+	// recomputePrice is the price of prefilling a token that another engine holds, in addition to
 	// the time that it takes here.
 	//
-	// Without it a shared prefix is prefilled by every engine that happens to be free,
-	// and engines' memories turn over sooner. A prefix of usual length is worth half a
-	// second of waiting; before a longer queue it spreads.
-	againPrice = 100 * time.Microsecond
-	// tokenPrice is what a millisecond of the rest of an answer is worth: it
-	// keeps answers where they are made fast.
-	tokenPrice = 0.01
-	// besidePrice is what a millisecond of reading costs for each answer that
-	// it slows down beside it.
-	besidePrice = 0.015
-	// pauseUsed is the part of the routes' pause that is planned for.
-	pauseUsed = 0.9
-	// unheard is what a reading beside answers counts for in a pause: some of those
-	// that other processes send there at the same moment are heard too late.
-	unheard = 1.5
-	// usualLearning is the weight of one prompt in the mean length.
-	usualLearning = 0.02
-	// answerShare is the part of the time left that the whole of an answer may
-	// be expected to take; an engine where it takes longer is used last.
-	answerShare = 0.7
-	// patience is the part of the target that a request may be expected to
-	// take: what is expected later is refused, since it would hold back
-	// others and be late itself.
-	patience = 1.15
-	// ownPatience is the same in parts of the time that the request would take
-	// were nothing else there.
+	// Without it a shared prefix is prefilled by every engine that happens to be free, and the KV
+	// memories of the engines turn over sooner. A prefix of usual length is worth half a second of
+	// queueing; when the queue is longer, the prefix spreads to other engines.
+	recomputePrice = 100 * time.Microsecond
+	// decodePrice is the price of a millisecond of the answer after its first event. It prefers the
+	// engines that decode fastest.
+	decodePrice = 0.01
+	// interferencePrice is the price of a millisecond of prefill for each running answer that it
+	// slows down.
+	interferencePrice = 0.015
+	// gapTargetShare is the part of the routes' target for the gap between events that is planned
+	// for.
+	gapTargetShare = 0.9
+	// unknownPrefillFactor scales a prefill beside decodes when its event gap is estimated: notices
+	// of some prefills that other processes send to the engine at the same moment arrive too late.
+	unknownPrefillFactor = 1.5
+	// meanLearningRate is the weight of one prompt in the mean lengths of prompts and outputs.
+	meanLearningRate = 0.02
+	// maxDecodeShare is the part of the time left until the deadline that the whole answer may be
+	// expected to take; an engine where it takes longer is penalised.
+	maxDecodeShare = 0.7
+	// targetTolerance bounds the expected time of a request, relative to its target. A request that
+	// is expected later is refused, since it would delay others and be late itself.
+	targetTolerance = 1.15
+	// unqueuedTolerance is the same bound relative to the time that the request would take without
+	// a queue.
 	//
-	// Failure: prompts whose reading alone takes as long as the target are
-	// refused for what they are. Symptom: the largest requests of a class are
-	// hardly ever served. They are taken where they wait little.
-	ownPatience = 1.15
-	// lateQueue is how long a request that is late already may wait for an
-	// engine, in parts of the time that it would take were nothing else there.
+	// Prompts whose prefill alone takes as long as the target would otherwise be refused always,
+	// and the largest requests of a class would hardly ever be served. They are admitted where they
+	// wait little.
+	unqueuedTolerance = 1.15
+	// lateQueueTolerance is how long a request that is late already may wait for an engine,
+	// relative to the time that it would take without a queue.
 	//
-	// Failure: callers that were refused come back, and late requests take the
-	// engines from those that could still be in time. Symptom: under overload
-	// nearly all answers are late. What is late waits little, or comes again.
-	lateQueue = 0.35
-	// latePatience is the part of the target that it is granted in any case,
-	// since a second refusal leaves its caller with nothing.
-	latePatience = 0.9
-	// mostLate bounds what a peer may say of one reading.
-	mostLate = surprise
-	// memoryLimit is the part of the memory that running requests may take.
-	memoryLimit = 0.92
-	// plainStart is the time of an answer of a plain service before one is known.
-	plainStart = 30 * time.Millisecond
-	// plainLearning is the weight of one answer in the mean.
-	plainLearning = 0.05
-	// soonest and latest bound when a refused caller is told to come back.
-	soonest = 300 * time.Millisecond
-	latest  = 3 * time.Second
+	// Under overload, refused callers retry, and their late requests would take the engines from
+	// those that can still meet their target, until nearly all answers are late. A late request
+	// waits little or is refused again.
+	lateQueueTolerance = 0.35
+	// lateTargetTolerance is the part of the target that a late request may take in any case, since
+	// a second refusal leaves its caller without an answer.
+	lateTargetTolerance = 0.9
+	// maxPeerCorrection bounds the backlog correction that a peer may report for one prefill.
+	maxPeerCorrection = maxBacklogCorrection
+	// kvCacheLimit is the part of the KV memory that running requests may take.
+	kvCacheLimit = 0.92
+	// initialPlainLatency is the assumed latency of a plain service before the first answer.
+	initialPlainLatency = 30 * time.Millisecond
+	// plainLearningRate is the weight of one answer in the mean latency.
+	plainLearningRate = 0.05
+	// minRetryAfter and maxRetryAfter bound the retry delay that a refused caller is given.
+	minRetryAfter = 300 * time.Millisecond
+	maxRetryAfter = 3 * time.Second
 )
 
-// Placer is a carawayspread.Placer by estimates.
+// Placer is a carawayspread.Placer that estimates the time to the first event at each engine.
 type Placer struct {
 	env carawayspread.Environment
 
-	mu     sync.Mutex
-	pools  map[string]*pool
-	byHash map[uint32]*engine
-	loads  *loads
-	fair   map[string]*fairness // by route
+	mu       sync.Mutex
+	pools    map[string]*pool
+	byHash   map[uint32]*engine
+	loads    *loads
+	fairness map[string]*fairness // by route
 }
 
 var _ = carawayspread.Placers.Register("estimate", func(env carawayspread.Environment) carawayspread.Placer {
@@ -121,7 +123,7 @@
 	if env.Tell == nil {
 		env.Tell = func(carawayspread.Notice) {}
 	}
-	return &Placer{env: env, pools: map[string]*pool{}, byHash: map[uint32]*engine{}, loads: newLoads(), fair: map[string]*fairness{}}
+	return &Placer{env: env, pools: map[string]*pool{}, byHash: map[uint32]*engine{}, loads: newLoads(), fairness: map[string]*fairness{}}
 }
 
 func hashOf(id carawayspread.EndpointID) uint32 {
@@ -130,17 +132,17 @@
 	return h.Sum32()
 }
 
-// SetEndpoints replaces the endpoints of a service and keeps what is known.
+// SetEndpoints replaces the endpoints of a service and keeps what was learned of them.
 func (p *Placer) SetEndpoints(service string, endpoints []carawayspread.Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	old := p.pools[service]
 	if old == nil {
 		eject, _ := carawayspread.Ejectors.Get("")
-		old = &pool{kept: keptStart, ejector: eject(p.env), pauses: map[string]time.Duration{}}
+		old = &pool{affinityHitRate: initialHitRate, ejector: eject(p.env), gapTargets: map[string]time.Duration{}}
 	}
 	next := &pool{}
-	*next = *old // what was seen of the service holds on
+	*next = *old // what was learned of the service remains
 	next.engines, next.ordered = make(map[carawayspread.EndpointID]*engine, len(endpoints)), nil
 	ids := make([]carawayspread.EndpointID, 0, len(endpoints))
 	now := p.env.Clock.Now()
@@ -149,17 +151,17 @@
 		if e == nil {
 			e = newEngine(endpoint)
 		}
-		if endpoint.Leaving() && !e.endpoint.Leaving() && !e.aside.After(now) {
-			p.env.Tell(carawayspread.Notice{Endpoint: e.hash, Running: e.own, Tokens: e.tokens, Aside: leavingFor})
+		if endpoint.Leaving() && !e.endpoint.Leaving() && !e.unavailableUntil.After(now) {
+			p.env.Tell(carawayspread.Notice{Endpoint: e.hash, Running: e.ownAttempts, Tokens: e.ownTokens, Aside: leavingDuration})
 		}
 		e.update(endpoint)
-		e.mostParts = max(1, min(mostParts, allParts/len(endpoints)))
+		e.maxParts = max(1, min(maxPartsPerEngine, maxPartsPerService/len(endpoints)))
 		next.engines[endpoint.ID()] = e
 		next.ordered = append(next.ordered, e)
 		ids = append(ids, endpoint.ID())
 	}
 	slices.SortFunc(next.ordered, func(a, b *engine) int { return cmp.Compare(a.endpoint.ID(), b.endpoint.ID()) })
-	next.teach()
+	next.seedUnlearned()
 	next.ejector.SetEndpoints(ids)
 	p.pools[service] = next
 	p.byHash = map[uint32]*engine{}
@@ -170,60 +172,61 @@
 	}
 }
 
-// Place chooses an endpoint.
+// Place chooses an endpoint, or returns the refusal of the request.
 func (p *Placer) Place(req carawayspread.Placing) (carawayspread.Placement, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.env.Clock.Now()
 	pool := p.pools[req.Service.Name]
 	if pool == nil {
-		return carawayspread.Placement{}, nowhere()
+		return carawayspread.Placement{}, noEndpoint()
 	}
-	pool.relax(now)
+	pool.decay(now)
 	if req.Prompt == nil || req.Service.Engine == nil {
 		return p.placePlain(now, pool, req)
 	}
 	return p.placePrompt(now, pool, req)
 }
 
-// load returns all attempts known at the engine.
+// load returns the load at the engine of all processes that are known.
 func (p *Placer) load(now time.Time, e *engine) load {
-	return load{e.own, e.tokens}.plus(p.loads.at(now, e.hash))
+	return load{e.ownAttempts, e.ownTokens}.plus(p.loads.at(now, e.hash))
 }
 
-func nowhere() *carawayspread.Error {
+func noEndpoint() *carawayspread.Error {
 	return carawayspread.NewError(carawayspread.CodeNoEndpoint, "no endpoint can take the request now",
-		carawayspread.NotRun(), carawayspread.RetryAfter(soonest))
+		carawayspread.NotRun(), carawayspread.RetryAfter(minRetryAfter))
 }
 
-// tooLate refuses a request whose first event is expected over by so long.
-// The time to come back is spread, so that the refused do not return at once.
-func (p *Placer) tooLate(over time.Duration) *carawayspread.Error {
-	after := max(soonest, min(latest, 2*over))
+// overloaded returns the refusal of a request whose first event is expected too late by excess. The
+// retry delay is randomised, so that refused callers do not retry at the same time.
+func (p *Placer) overloaded(excess time.Duration) *carawayspread.Error {
+	retryAfter := max(minRetryAfter, min(maxRetryAfter, 2*excess))
 	if p.env.Rand != nil {
-		after += time.Duration(p.env.Rand.Float64() * float64(after))
+		retryAfter += time.Duration(p.env.Rand.Float64() * float64(retryAfter))
 	}
 	return carawayspread.NewError(carawayspread.CodeOverloaded, "the target cannot be met now",
-		carawayspread.NotRun(), carawayspread.RetryAfter(after))
+		carawayspread.NotRun(), carawayspread.RetryAfter(retryAfter))
 }
 
-// Crashed takes note of a connection that broke while a request ran.
+// Crashed records that a connection broke while a request ran: the engine is assumed to hold no
+// parts any more.
 func (p *Placer) Crashed(id carawayspread.EndpointID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, pool := range p.pools {
 		if e := pool.engines[id]; e != nil {
-			e.parts = map[uint64]mark{}
+			e.parts = map[uint64]cacheEntry{}
 		}
 	}
 }
 
-// Heard takes the notices of a peer.
+// Heard applies the notices of a peer.
 func (p *Placer) Heard(sender string, notices []carawayspread.Notice) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.env.Clock.Now()
-	from := p.loads.heard(now, sender)
+	from := p.loads.touch(now, sender)
 	for _, n := range notices {
 		before := p.loads.set(from, n)
 		e := p.byHash[n.Endpoint]
@@ -231,20 +234,20 @@
 			continue
 		}
 		if n.Running < before.running {
-			e.advanced = now
+			e.lastProgress = now
 		}
 		if n.Work > 0 {
-			e.begin(now, n.Work)
+			e.addPrefill(now, n.Work)
 			if pool := p.pools[e.endpoint.Service()]; pool != nil {
-				pool.arrived += n.Read
+				pool.arrivedTokens += n.Read
 			}
 		}
-		e.shiftBy(max(-mostLate, min(mostLate, n.Late)))
+		e.shiftBacklog(max(-maxPeerCorrection, min(maxPeerCorrection, n.Late)))
 		if n.Aside > 0 {
-			e.aside = later(e.aside, now.Add(min(n.Aside, mostAside)))
+			e.unavailableUntil = later(e.unavailableUntil, now.Add(min(n.Aside, maxPeerUnavailable)))
 		}
 		if n.Read > 0 || len(n.Chains) > 0 {
-			e.take(n.Chains, n.Read)
+			e.cacheParts(n.Chains, n.Read)
 		}
 	}
 }
--- a/internal/decision/placement/plain.go
+++ b/internal/decision/placement/plain.go
@@ -6,44 +6,45 @@
 	"carawayspread"
 )
 
-// placePlain chooses the endpoint of a plain service that answers first.
+// placePlain chooses the endpoint of a plain service with the lowest expected latency.
 func (p *Placer) placePlain(now time.Time, pool *pool, req carawayspread.Placing) (carawayspread.Placement, error) {
 	var best *engine
 	var bestFirst, bestCost, soon time.Duration
-	for e := range from(pool.ordered, req.Key) {
-		if !pool.open(now, e, req) {
+	for e := range rotated(pool.ordered, req.Key) {
+		if !pool.eligible(now, e, req) {
 			continue
 		}
-		mean := e.mean
+		mean := e.meanLatency
 		if mean == 0 {
-			mean = plainStart
+			mean = initialPlainLatency
 		}
 		slots := max(1, e.endpoint.Slots())
 		running := p.load(now, e).running
-		first := time.Duration(float64(mean) * queued(e, running))
+		first := time.Duration(float64(mean) * queueFactor(e, running))
 		cost := first + mean*time.Duration(running)/time.Duration(4*slots)
-		cost += p.crossing(e, req)
+		cost += p.crossZoneCost(e, req)
 		if best == nil || cost < bestCost {
 			best, bestFirst, bestCost = e, first, cost
 		}
 		soon = max(soon, mean)
 	}
 	if best == nil {
-		return carawayspread.Placement{}, nowhere()
+		return carawayspread.Placement{}, noEndpoint()
 	}
 	if now.Add(bestFirst).After(req.Deadline) {
-		return carawayspread.Placement{}, p.tooLate(bestFirst)
+		return carawayspread.Placement{}, p.overloaded(bestFirst)
 	}
 	return carawayspread.Placement{Endpoint: best.endpoint, First: bestFirst}, nil
 }
 
-// queued returns how many times its own time an answer takes at an endpoint with so
-// many before it.
+// queueFactor returns the expected latency of an answer at an endpoint with so many running,
+// relative to its latency without a queue.
 //
-// Failure: what an answer waited is taken for the time that it needs, and counted once
-// more for each that waits. Symptom: with a queue of a quarter of a second 1.4 s are
-// expected, and whoever may wait for less is refused though the answer would be in time.
-func queued(e *engine, running int) float64 {
+// If the measured latency were not divided by it, the wait of an answer would count as service
+// time, and once more for each request that waits: with a queue of a quarter of a second, 1.4 s
+// would be expected, and requests with a shorter deadline would be refused though their answers
+// would be in time.
+func queueFactor(e *engine, running int) float64 {
 	slots := max(1, e.endpoint.Slots())
 	return 1 + float64(max(0, running-slots+1))/float64(slots)
 }
--- a/internal/decision/placement/plain_test.go
+++ b/internal/decision/placement/plain_test.go
@@ -12,43 +12,43 @@
 	"carawayspread"
 )
 
-// Callers with little time are answered by a plain service that is full, as long as it
-// answers in that time. One endpoint of three is left; requests wait there for about
-// their own time again, and what is expected of it must not grow with the wait.
-func TestPlainServiceThatIsFull(t *testing.T) {
+// Guards against refusals of requests with short deadlines by a plain service that is full but
+// answers in time. One endpoint of three remains, where requests wait for about their own service
+// time; the expected latency must not grow with that wait.
+func TestFullPlainServiceServesTightDeadlines(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	p := New(carawayspread.Environment{Clock: clock, Zone: "z", Rand: rand.New(rand.NewPCG(1, 2))})
-	const slots, own = 6, 60 * time.Millisecond
+	const slots, serviceTime = 6, 60 * time.Millisecond
 	p.SetEndpoints("s", []carawayspread.Endpoint{
 		carawayspread.NewEndpoint("w", "s", "z", "10.0.0.1:1", false, carawayspread.WithSlots(slots)),
 	})
 	req := carawayspread.Placing{Route: &carawayspread.Route{Name: "r", Target: 300 * time.Millisecond}, Service: carawayspread.RoutedService{Name: "s"}}
 	type running struct {
-		stay carawayspread.Stay
-		sent time.Time
-		ends time.Time
-		said time.Duration
+		attempt  carawayspread.Stay
+		sent     time.Time
+		ends     time.Time
+		expected time.Duration
 	}
 	var all []running
-	var refused, asked int
-	var worst float64 // from two seconds after the pause on, when it has faded
+	var refused, total int
+	var worstRatio float64 // from two seconds after the endpoint's pause, when its effect has decayed
 	free := make([]time.Time, slots)
-	for range 2000 { // one in ten milliseconds, which is what six slots do
+	for range 2000 { // one request each 10 ms, the capacity of six slots
 		clock.Advance(10 * time.Millisecond)
 		now := clock.Now()
-		var left []running
+		var unfinished []running
 		for _, r := range all {
 			if r.ends.After(now) {
-				left = append(left, r)
+				unfinished = append(unfinished, r)
 				continue
 			}
-			r.stay.End(carawayspread.OutcomeServed)
-			if found := r.ends.Sub(r.sent); asked > 400 {
-				worst = max(worst, float64(r.said)/float64(found))
+			r.attempt.End(carawayspread.OutcomeServed)
+			if measured := r.ends.Sub(r.sent); total > 400 {
+				worstRatio = max(worstRatio, float64(r.expected)/float64(measured))
 			}
 		}
-		all = left
-		asked++
+		all = unfinished
+		total++
 		req.Arrived, req.Deadline, req.Key = now, now.Add(600*time.Millisecond), rand.Uint64()
 		at, err := p.Place(req)
 		if err != nil {
@@ -61,15 +61,15 @@
 				first = slot
 			}
 		}
-		free[first] = later(now, free[first]).Add(own)
+		free[first] = later(now, free[first]).Add(serviceTime)
 		all = append(all, running{p.Sent(req, at), now, free[first], at.First})
-		if asked == 200 { // a pause of the endpoint, so that a queue stands from here on
+		if total == 200 { // the endpoint pauses, so that there is a queue from here on
 			for slot := range free {
 				free[slot] = free[slot].Add(150 * time.Millisecond)
 			}
 		}
 	}
-	t.Log(fmt.Sprintf("%d of %d refused, expected at the worst %.2f times what was found", refused, asked, worst))
+	t.Log(fmt.Sprintf("%d of %d refused, expected latency at most %.2f times the measured one", refused, total, worstRatio))
 	qt.Check(t, refused, qt.Equals, 0)
-	qt.Check(t, worst <= 1.5, qt.IsTrue, qt.Commentf("%.2f", worst))
+	qt.Check(t, worstRatio <= 1.5, qt.IsTrue, qt.Commentf("%.2f", worstRatio))
 }
--- a/internal/decision/placement/pool.go
+++ b/internal/decision/placement/pool.go
@@ -7,203 +7,202 @@
 	"carawayspread"
 )
 
-// teachEvery is the least time between two looks at all engines for what those of
-// which nothing is known can be taught: some answers of a process.
-const teachEvery = 50 * time.Millisecond
+// seedInterval is the least time between two passes over all engines that seed those without own
+// measurements; some answers of a process arrive in it.
+const seedInterval = 50 * time.Millisecond
 
 const (
-	// lagLearning is the weight of one answer in a kind's mean error: a peak of a
-	// second shows in it.
-	lagLearning = 0.05
-	// keptStart stands for not knowing: prompts that would be in time only if their
-	// beginnings were held are neither all refused nor all sent.
-	keptStart = 0.5
-	// keptLearning is the weight of one answer: four of them tell.
-	keptLearning = 0.25
-	// keptTold is how much sooner the answer must come where the beginning is held to
-	// tell by its time whether it was: what a short prompt takes in any case.
-	keptTold = startDelay
+	// lagLearningRate is the weight of one answer in the mean error of a role; a peak of a second
+	// shows in the mean.
+	lagLearningRate = 0.05
+	// initialHitRate stands for an unknown hit rate: prompts that meet their target only if their
+	// prefixes are cached are neither all refused nor all admitted.
+	initialHitRate = 0.5
+	// hitRateLearningRate is the weight of one answer; four answers suffice.
+	hitRateLearningRate = 0.25
+	// minHitSaving is the least time that a cached prefix must save for the time of the answer to
+	// show whether it was cached: what a short prompt takes in any case.
+	minHitSaving = initialDelay
 )
 
 // pool holds the endpoints of one service.
 type pool struct {
-	engines map[carawayspread.EndpointID]*engine
-	ordered []*engine // by identifier
-	ejector carawayspread.Ejector
-	arrived int       // tokens to be read, here and at peers, since asked
-	asked   time.Time // when roles were last asked for
-	// pauses are the targets of the routes seen, by name.
-	pauses map[string]time.Duration
-	usual  float64 // tokens of a prompt, a fading mean
-	answer float64 // tokens of an answer, a fading mean
-	stride int     // tokens of one event; zero where it is not stated
-	// lag is what readings that waited were late by, in parts of what was expected,
-	// a fading mean: of engines that read, and of the others.
-	lag struct{ readers, others float64 }
-	// kept is the part of the beginnings that nobody is known to hold that their
-	// homes turn out to hold; from 0 to 1.
-	kept float64
-	// relaxed is when what was learnt long ago last faded, and taught when what was
-	// learnt of some engines was last given to others.
-	relaxed, taught time.Time
-	// drawn is what candidates returned last, to be used again.
-	drawn []*engine
-	// least is the shortest of pauses; zero for none.
-	least time.Duration
+	engines       map[carawayspread.EndpointID]*engine
+	ordered       []*engine // by endpoint identifier
+	ejector       carawayspread.Ejector
+	arrivedTokens int       // tokens to prefill, placed here and by peers, since demandSince
+	demandSince   time.Time // when Roles was last called
+	// gapTargets are the targets of the routes seen for the gap between events, by route name.
+	gapTargets       map[string]time.Duration
+	meanPromptTokens float64 // of a prompt, exponentially weighted
+	meanOutputTokens float64 // of an answer, exponentially weighted
+	stride           int     // tokens of one event; zero if not configured
+	// lag is the mean lateness of prefills that waited in a queue, relative to the expected time
+	// and exponentially weighted: of engines that only prefill, and of the others.
+	lag struct{ prefill, decode float64 }
+	// affinityHitRate is the part of the prefixes that no engine is known to hold that their
+	// affinity engines turn out to hold; from 0 to 1.
+	affinityHitRate float64
+	// lastDecayed is when learned values last decayed, and lastSeeded when engines without
+	// measurements last received values of others.
+	lastDecayed, lastSeeded time.Time
+	// candidateBuffer is the last result of candidates, reused by the next call.
+	candidateBuffer []*engine
+	// minGapTarget is the shortest of gapTargets; zero for none.
+	minGapTarget time.Duration
 }
 
-// learnKept learns from the answer to a reading whose shared beginning nobody was known
-// to hold, by the time that it took, how much of such beginnings homes hold.
+// learnHitRate updates the affinity hit rate from the time of a prefill whose shared prefix no
+// engine was known to hold.
 //
-// A process that has just started knows no prefix. If it expected each to be prefilled
-// from the first token, it would refuse prompts as too late that their affinity engine
-// holds; if it expected all to be held, it would accept too many after all engines have
-// started anew.
-func (pool *pool) learnKept(now time.Time, s *stay) {
-	if s.cold-s.warm < keptTold || s.start.Sub(s.sent) >= undisturbed {
+// A process that has just started knows no prefix. If it expected each to be prefilled from the
+// first token, it would refuse prompts as too late that their affinity engine holds; if it expected
+// all to be held, it would admit too many after all engines have restarted.
+func (pool *pool) learnHitRate(now time.Time, a *attempt) {
+	if a.cold-a.warm < minHitSaving || a.expectedStart.Sub(a.sentAt) >= maxUnqueuedWait {
 		return
 	}
-	took := now.Sub(s.start) - s.engine.delay
-	held := min(1, max(0, float64(s.cold-took)/float64(s.cold-s.warm)))
-	pool.kept += keptLearning * (held - pool.kept)
+	took := now.Sub(a.expectedStart) - a.engine.delay
+	hit := min(1, max(0, float64(a.cold-took)/float64(a.cold-a.warm)))
+	pool.affinityHitRate += hitRateLearningRate * (hit - pool.affinityHitRate)
 }
 
-// outlying returns by how much one error is over the mean of its kind's engines. Both
-// are in parts of what was expected; one answer counts as late by twice that at most.
-func (pool *pool) outlying(reads bool, off float64) float64 {
-	off = max(-1, min(1, off))
-	mean := &pool.lag.others
-	if reads {
-		mean = &pool.lag.readers
+// excessLag returns by how much the lateness of one answer exceeds the mean of the engines of its
+// role, and updates the mean. Both are relative to the expected time; the lateness is clamped to
+// the expected time in either direction.
+func (pool *pool) excessLag(prefillOnly bool, lateness float64) float64 {
+	lateness = max(-1, min(1, lateness))
+	mean := &pool.lag.decode
+	if prefillOnly {
+		mean = &pool.lag.prefill
 	}
-	*mean += lagLearning * (off - *mean)
-	return off - *mean
+	*mean += lagLearningRate * (lateness - *mean)
+	return lateness - *mean
 }
 
-// relax lets what was learnt long ago fade towards what holds for its kind, each
-// time that relaxEvery has passed.
-func (pool *pool) relax(now time.Time) {
-	if now.Sub(pool.relaxed) < relaxEvery {
+// decay moves old learned values towards the medians of their roles, once each decayInterval.
+func (pool *pool) decay(now time.Time) {
+	if now.Sub(pool.lastDecayed) < decayInterval {
 		return
 	}
-	pool.relaxed = now
-	pool.teach()
-	for _, kind := range []bool{true, false} {
-		pace, _ := pool.medianPace(kind)
+	pool.lastDecayed = now
+	pool.seedUnlearned()
+	for _, prefillOnly := range []bool{true, false} {
+		median, _ := pool.medianSlowdown(prefillOnly)
 		for _, e := range pool.ordered {
-			if e.reads() == kind {
-				e.relax(now, pace)
+			if e.prefillOnly() == prefillOnly {
+				e.decay(now, median)
 			}
 		}
 	}
 }
 
-// seen takes note of a prompt.
-func (pool *pool) seen(req carawayspread.Placing) {
-	if req.Route.Pause > 0 && pool.pauses[req.Route.Name] != req.Route.Pause {
-		pool.pauses[req.Route.Name] = req.Route.Pause
-		pool.least = 0
-		for _, pause := range pool.pauses {
-			if pool.least == 0 || pause < pool.least {
-				pool.least = pause
+// observePrompt updates the gap targets and mean lengths with the request.
+func (pool *pool) observePrompt(req carawayspread.Placing) {
+	if req.Route.Pause > 0 && pool.gapTargets[req.Route.Name] != req.Route.Pause {
+		pool.gapTargets[req.Route.Name] = req.Route.Pause
+		pool.minGapTarget = 0
+		for _, target := range pool.gapTargets {
+			if pool.minGapTarget == 0 || target < pool.minGapTarget {
+				pool.minGapTarget = target
 			}
 		}
 	}
 	pool.stride = req.Service.Engine.Stride
-	if pool.usual == 0 {
-		pool.usual = float64(req.Prompt.Tokens)
+	if pool.meanPromptTokens == 0 {
+		pool.meanPromptTokens = float64(req.Prompt.Tokens)
 	}
-	pool.usual += usualLearning * (float64(req.Prompt.Tokens) - pool.usual)
-	if tokens := float64(size(req.Prompt) - req.Prompt.Tokens); pool.answer == 0 {
-		pool.answer = tokens
+	pool.meanPromptTokens += meanLearningRate * (float64(req.Prompt.Tokens) - pool.meanPromptTokens)
+	if tokens := float64(sequenceTokens(req.Prompt) - req.Prompt.Tokens); pool.meanOutputTokens == 0 {
+		pool.meanOutputTokens = tokens
 	} else {
-		pool.answer += usualLearning * (tokens - pool.answer)
+		pool.meanOutputTokens += meanLearningRate * (tokens - pool.meanOutputTokens)
 	}
 }
 
-// lasts returns how long an answer runs at the engine beside so many others.
-func (pool *pool) lasts(e *engine, running int) time.Duration {
-	return time.Duration(max(1, pool.answer) * float64(e.step(running)))
+// answerTime returns how long an answer decodes at the engine beside so many others.
+func (pool *pool) answerTime(e *engine, running int) time.Duration {
+	return time.Duration(max(1, pool.meanOutputTokens) * float64(e.stepTime(running)))
 }
 
-// readsBeside reports whether the engine's answers stay in time however many
-// prompts are read beside them.
-func (pool *pool) readsBeside(e *engine, running int) bool {
-	bears := pool.bears()
-	return bears == 0 || e.pause(running, pool.stride, time.Hour, int(pool.usual)) <= bears
+// toleratesPrefill reports whether the engine's answers keep the gap limit however many prompts are
+// prefilled beside them.
+func (pool *pool) toleratesPrefill(e *engine, running int) bool {
+	limit := pool.gapLimit()
+	return limit == 0 || e.eventGap(running, pool.stride, time.Hour, int(pool.meanPromptTokens)) <= limit
 }
 
-// separate reports whether most engines that answer cannot read beside.
-func (pool *pool) separate() bool {
-	answerers, bear := 0, 0
+// disaggregated reports whether most engines that decode do not tolerate prefill.
+func (pool *pool) disaggregated() bool {
+	decoders, tolerant := 0, 0
 	for _, e := range pool.ordered {
-		if !e.reads() {
-			answerers++
-			if pool.readsBeside(e, e.own) {
-				bear++
+		if !e.prefillOnly() {
+			decoders++
+			if pool.toleratesPrefill(e, e.ownAttempts) {
+				tolerant++
 			}
 		}
 	}
-	return 2*bear < answerers
+	return 2*tolerant < decoders
 }
 
-// bears returns the longest pause that is in time for all routes seen; zero where
-// there is no bound.
-func (pool *pool) bears() time.Duration {
-	return time.Duration(pauseUsed * float64(pool.least))
+// gapLimit returns the longest gap between events that meets the targets of all routes seen; zero
+// for no limit.
+func (pool *pool) gapLimit() time.Duration {
+	return time.Duration(gapTargetShare * float64(pool.minGapTarget))
 }
 
-// teach gives what was learnt of some engines to those of which nothing is known
-// yet: the delay of their kind, and the middle pace of the readers. They would
-// look faster than they are, and get everything.
-func (pool *pool) teach() {
-	pace, known := pool.medianPace(true)
-	separate := pool.separate()
-	teachers := map[bool]*engine{} // one of each kind of which something is known
+// seedUnlearned copies learned values to the engines without measurements: the delay of another
+// engine of their role and, if the pool is disaggregated, the median slowdown of the prefill
+// engines. With the initial values they would look faster than they are and get all requests.
+func (pool *pool) seedUnlearned() {
+	median, known := pool.medianSlowdown(true)
+	disaggregated := pool.disaggregated()
+	sources := map[bool]*engine{} // one engine with measurements for each role
 	for _, e := range pool.ordered {
-		e.kin = pace
-		if kind := e.reads(); teachers[kind] == nil && !e.learnt.IsZero() {
-			teachers[kind] = e
+		e.medianSlowdown = median
+		if kind := e.prefillOnly(); sources[kind] == nil && !e.learnedAt.IsZero() {
+			sources[kind] = e
 		}
 	}
-	for _, pupil := range pool.ordered {
-		if !pupil.learnt.IsZero() {
+	for _, unlearned := range pool.ordered {
+		if !unlearned.learnedAt.IsZero() {
 			continue
 		}
-		if teacher := teachers[pupil.reads()]; teacher != nil {
-			pupil.delay = teacher.delay
+		if source := sources[unlearned.prefillOnly()]; source != nil {
+			unlearned.delay = source.delay
 		}
-		if known && separate {
-			pupil.pace = pace
+		if known && disaggregated {
+			unlearned.slowdown = median
 		}
 	}
 }
 
-// answered has what was learnt of some engines given to others again, at the first
-// answer after teachEvery.
-func (pool *pool) answered(now time.Time) {
-	if now.Sub(pool.taught) >= teachEvery {
-		pool.taught = now
-		pool.teach()
+// seedIfDue seeds the engines without measurements again at the first answer after seedInterval.
+func (pool *pool) seedIfDue(now time.Time) {
+	if now.Sub(pool.lastSeeded) >= seedInterval {
+		pool.lastSeeded = now
+		pool.seedUnlearned()
 	}
 }
 
-// medianPace returns the middle pace of the engines of a kind, if any is known.
-func (pool *pool) medianPace(reads bool) (pace float64, known bool) {
-	var paces []float64
+// medianSlowdown returns the median slowdown of the engines of a role, if any has measurements; 1
+// otherwise.
+func (pool *pool) medianSlowdown(prefillOnly bool) (slowdown float64, known bool) {
+	var slowdowns []float64
 	for _, e := range pool.ordered {
-		if e.reads() == reads && !e.learnt.IsZero() {
-			paces = append(paces, e.pace)
+		if e.prefillOnly() == prefillOnly && !e.learnedAt.IsZero() {
+			slowdowns = append(slowdowns, e.slowdown)
 		}
 	}
-	if len(paces) == 0 {
+	if len(slowdowns) == 0 {
 		return 1, false
 	}
-	slices.Sort(paces)
-	return paces[len(paces)/2], true
+	slices.Sort(slowdowns)
+	return slowdowns[len(slowdowns)/2], true
 }
 
-// open reports whether the engine may get the request.
-func (pool *pool) open(now time.Time, e *engine, req carawayspread.Placing) bool {
-	return !e.aside.After(now) && !e.endpoint.Leaving() && !req.Exclude[e.endpoint.ID()] && pool.ejector.Allowed(e.endpoint.ID())
+// eligible reports whether the engine may get the request.
+func (pool *pool) eligible(now time.Time, e *engine, req carawayspread.Placing) bool {
+	return !e.unavailableUntil.After(now) && !e.endpoint.Leaving() && !req.Exclude[e.endpoint.ID()] && pool.ejector.Allowed(e.endpoint.ID())
 }
--- a/internal/decision/placement/prompt.go
+++ b/internal/decision/placement/prompt.go
@@ -6,80 +6,80 @@
 	"carawayspread"
 )
 
-// choice is a way to the first event.
+// choice is an engine for a request, with the expected times and the cost of choosing it.
 type choice struct {
-	engine *engine
-	reads  bool
-	first  time.Duration
-	cost   time.Duration
-	work   time.Duration
-	alone  time.Duration // first, were nothing else there
-	found  int
-	from   *engine       // that holds more of the prompt; nil where nothing is fetched
-	takes  time.Duration // until that is there
-	// cold and warm are work with nothing and with all held of a shared beginning
-	// that nobody is known to hold; zero where somebody is, or it is not its home.
+	engine       *engine
+	prefillOnly  bool
+	first        time.Duration
+	cost         time.Duration
+	work         time.Duration
+	unqueued     time.Duration // value of first without a queue
+	cachedTokens int
+	fetchSource  *engine       // engine to fetch a cached prefix from; nil for none
+	fetchTime    time.Duration // expected time of the fetch
+	// cold and warm are work with nothing and with all cached of a shared prefix that no engine is
+	// known to hold; zero if one is, or if the engine is not the affinity engine.
 	cold, warm time.Duration
 }
 
 func (p *Placer) placePrompt(now time.Time, pool *pool, req carawayspread.Placing) (carawayspread.Placement, error) {
 	chains := req.Prompt.Chains()
-	pool.seen(req)
+	pool.observePrompt(req)
 	engines := pool.candidates(req, chains)
 	best, ok := p.best(now, pool, engines, req, chains)
 	if !ok && len(engines) < len(pool.ordered) {
-		// None of those drawn is open, which says nothing of the others.
+		// No sampled engine is eligible, which says nothing about the others.
 		best, ok = p.best(now, pool, pool.ordered, req, chains)
 	}
 	if !ok {
-		return carawayspread.Placement{}, nowhere()
+		return carawayspread.Placement{}, noEndpoint()
 	}
 	if req.Handed != "" {
 		return carawayspread.Placement{Endpoint: best.engine.endpoint, First: best.first}, nil
 	}
 	at := carawayspread.Placement{
-		Endpoint: best.engine.endpoint, Reads: best.reads, First: best.first, Found: best.found,
+		Endpoint: best.engine.endpoint, Reads: best.prefillOnly, First: best.first, Found: best.cachedTokens,
 		Work: best.work, Wait: best.engine.wait(now),
-		Fetching: best.takes, Fetched: best.found - best.engine.holds,
+		Fetching: best.fetchTime, Fetched: best.cachedTokens - best.engine.cachedPrefix,
 		Cold: best.cold, Warm: best.warm,
 	}
-	if best.from != nil {
-		at.Fetch = &best.from.endpoint
+	if best.fetchSource != nil {
+		at.Fetch = &best.fetchSource.endpoint
 	}
-	return at, p.judge(now, req, best)
+	return at, p.admit(now, req, best)
 }
 
-// best returns the cheapest way to the first event by one of the engines.
+// best returns the choice with the lowest cost among the engines.
 func (p *Placer) best(now time.Time, pool *pool, engines []*engine, req carawayspread.Placing, chains []uint64) (choice, bool) {
-	answer, continued := p.continued(now, pool, engines, req)
+	decode, canDecode := p.bestDecode(now, pool, engines, req)
 	if req.Handed != "" {
-		return answer, continued
+		return decode, canDecode
 	}
-	held := pool.find(now, engines, req, chains)
-	var home *engine
-	var away time.Duration
-	if held.most == 0 {
-		home = pool.home(now, engines, req, chains)
-		away = time.Duration(homePrice * float64(shared(req.Prompt)) * float64(againPrice))
+	sources := pool.findSources(now, engines, req, chains)
+	var affinity *engine
+	var missPrice time.Duration
+	if sources.cachedTokens == 0 {
+		affinity = pool.affinityEngine(now, engines, req, chains)
+		missPrice = time.Duration(affinityMissPrice * float64(sharedTokens(req.Prompt)) * float64(recomputePrice))
 	}
 	var best choice
-	for e := range from(engines, req.Key) {
-		if !pool.open(now, e, req) || e.reads() && (req.Direct || !continued) {
+	for e := range rotated(engines, req.Key) {
+		if !pool.eligible(now, e, req) || e.prefillOnly() && (req.Direct || !canDecode) {
 			continue
 		}
 		l := p.load(now, e)
-		if !e.reads() && !fits(l, e, req) {
+		if !e.prefillOnly() && !fits(l, e, req) {
 			continue
 		}
-		if e == home {
-			e.holds = int(pool.kept * float64(shared(req.Prompt)))
+		if e == affinity {
+			e.cachedPrefix = int(pool.affinityHitRate * float64(sharedTokens(req.Prompt)))
 		}
-		c := p.way(now, pool, e, l, held, answer, req)
-		if e == home {
-			c.cold = e.work(req.Prompt.Tokens, 0, l.running)
-			c.warm = e.work(req.Prompt.Tokens, shared(req.Prompt), l.running)
-		} else if home != nil {
-			c.cost += away
+		c := p.evaluate(now, pool, e, l, sources, decode, req)
+		if e == affinity {
+			c.cold = e.prefillTime(req.Prompt.Tokens, 0, l.running)
+			c.warm = e.prefillTime(req.Prompt.Tokens, sharedTokens(req.Prompt), l.running)
+		} else if affinity != nil {
+			c.cost += missPrice
 		}
 		if best.engine == nil || c.cost < best.cost {
 			best = c
@@ -88,126 +88,124 @@
 	return best, best.engine != nil
 }
 
-// way returns what the first event takes and costs by an engine, which hands the
-// KV cache to the one of answer where it only reads.
-func (p *Placer) way(now time.Time, pool *pool, e *engine, l load, held sources, answer choice, req carawayspread.Placing) choice {
-	found := e.holds
-	work := e.work(req.Prompt.Tokens, found, l.running)
-	less := e.work(req.Prompt.Tokens, held.most, l.running)
-	source, takes := held.fetch(e, req.Service.Engine, work-less)
+// evaluate returns the choice of one engine, with its time to the first event and its cost. An
+// engine that only prefills hands the KV cache over to the engine of decode.
+func (p *Placer) evaluate(now time.Time, pool *pool, e *engine, l load, sources cacheSources, decode choice, req carawayspread.Placing) choice {
+	cached := e.cachedPrefix
+	work := e.prefillTime(req.Prompt.Tokens, cached, l.running)
+	fetchedWork := e.prefillTime(req.Prompt.Tokens, sources.cachedTokens, l.running)
+	source, fetchTime := sources.fetchSource(e, req.Service.Engine, work-fetchedWork)
 	if source != nil {
-		work, found = less, held.most
+		work, cached = fetchedWork, sources.cachedTokens
 	}
 	c := choice{
-		engine: e, reads: e.reads(), work: work, found: found, from: source, takes: takes,
-		first: e.wait(now) + takes + work + e.delay,
+		engine: e, prefillOnly: e.prefillOnly(), work: work, cachedTokens: cached, fetchSource: source, fetchTime: fetchTime,
+		first: e.wait(now) + fetchTime + work + e.delay,
 	}
-	if c.reads {
-		c.first += handOver + answer.first
+	if c.prefillOnly {
+		c.first += handoffDelay + decode.first
 	} else {
-		c.first += e.step(l.running)
+		c.first += e.stepTime(l.running)
 	}
 	c.cost = c.first + time.Duration(workPrice*float64(work))
-	if c.reads {
-		c.cost += answer.cost - answer.first
+	if c.prefillOnly {
+		c.cost += decode.cost - decode.first
 	} else {
-		c.cost += p.rest(now, e, l.running, req) + time.Duration(besidePrice*float64(l.running)*float64(work))
-		c.cost += pool.spoils(now, e, l.running, work, req)
+		c.cost += p.decodeCost(now, e, l.running, req) + time.Duration(interferencePrice*float64(l.running)*float64(work))
+		c.cost += pool.gapPenalty(now, e, l.running, work, req)
 	}
-	c.cost += p.crossing(e, req) + time.Duration(max(0, held.most-found))*againPrice + time.Duration(found-e.holds)*fetchPrice
-	c.alone = c.first - e.wait(now)
+	c.cost += p.crossZoneCost(e, req) + time.Duration(max(0, sources.cachedTokens-cached))*recomputePrice + time.Duration(cached-e.cachedPrefix)*fetchPrice
+	c.unqueued = c.first - e.wait(now)
 	return c
 }
 
-// spoils prices the answers that a reading would make late by a pause: those that
-// run, unless what is read there already makes them late, and those that begin
-// while it lasts.
+// gapPenalty prices the answers that a prefill would make late by a gap between events: those that
+// run, unless pending prefills make them late already, and those that start while the prefill runs.
 //
-// A prefill beside decodes puts a chunk between any two steps, so that each event takes
-// several times as long. If only running answers counted, the next prompt would cost
-// nothing where one is prefilled already, and engines that decode would prefill for as
-// long as the load lasts.
-func (pool *pool) spoils(now time.Time, e *engine, running int, work time.Duration, req carawayspread.Placing) time.Duration {
-	bears, stride := pool.bears(), req.Service.Engine.Stride
-	if bears == 0 || running == 0 {
+// A prefill beside decodes puts a chunk between any two steps, so that each event takes several
+// times as long. If only running answers counted, the next prompt would cost nothing where one is
+// prefilled already, and engines that decode would prefill for as long as the load lasts.
+func (pool *pool) gapPenalty(now time.Time, e *engine, running int, work time.Duration, req carawayspread.Placing) time.Duration {
+	limit, stride := pool.gapLimit(), req.Service.Engine.Stride
+	if limit == 0 || running == 0 {
 		return 0
 	}
 	wait := e.wait(now)
-	if e.pause(running, stride, wait+time.Duration(unheard*float64(work)), req.Prompt.Tokens) <= bears {
+	if e.eventGap(running, stride, wait+time.Duration(unknownPrefillFactor*float64(work)), req.Prompt.Tokens) <= limit {
 		return 0
 	}
-	late := float64(running) * float64(work) / float64(pool.lasts(e, running))
-	if e.pause(running, stride, wait, req.Prompt.Tokens) <= bears {
+	late := float64(running) * float64(work) / float64(pool.answerTime(e, running))
+	if e.eventGap(running, stride, wait, req.Prompt.Tokens) <= limit {
 		late += float64(running)
 	}
 	return time.Duration(late * float64(req.Route.Target))
 }
 
-// judge refuses what would be too late to be worth its engine time.
-func (p *Placer) judge(now time.Time, req carawayspread.Placing, way choice) error {
-	first := way.first
+// admit refuses a request that would be too late to be worth its engine time.
+func (p *Placer) admit(now time.Time, req carawayspread.Placing, best choice) error {
+	first := best.first
 	if now.Add(first).After(req.Deadline) {
-		return p.tooLate(first)
+		return p.overloaded(first)
 	}
 	if req.Owed {
 		return nil
 	}
-	fair := p.fair[req.Route.Name]
+	fair := p.fairness[req.Route.Name]
 	if fair == nil {
 		fair = &fairness{}
-		p.fair[req.Route.Name] = fair
+		p.fairness[req.Route.Name] = fair
 	}
-	target, alone := float64(req.Route.Target), float64(way.alone)
+	target, unqueued := float64(req.Route.Target), float64(best.unqueued)
 	var allowed time.Duration
 	var kind int
 	if req.Late {
-		kind = fair.kind(weight(req.Prompt))
-		allowed = time.Duration(max(latePatience*target, (1+lateQueue+fair.grant(kind))*alone))
+		kind = fair.kind(weightedTokens(req.Prompt))
+		allowed = time.Duration(max(lateTargetTolerance*target, (1+lateQueueTolerance+fair.extraTolerance(kind))*unqueued))
 	} else {
-		kind = fair.ask(weight(req.Prompt))
-		allowed = time.Duration(max(patience*target, (ownPatience+fair.grant(kind))*alone)) - now.Sub(req.Arrived)
+		kind = fair.recordArrival(weightedTokens(req.Prompt))
+		allowed = time.Duration(max(targetTolerance*target, (unqueuedTolerance+fair.extraTolerance(kind))*unqueued)) - now.Sub(req.Arrived)
 	}
 	if first > allowed {
-		return p.tooLate(first - allowed)
+		return p.overloaded(first - allowed)
 	}
-	fair.take(kind)
+	fair.recordAdmission(kind)
 	return nil
 }
 
-// continued returns the engine that would go on from a KV cache first.
-func (p *Placer) continued(now time.Time, pool *pool, engines []*engine, req carawayspread.Placing) (choice, bool) {
+// bestDecode returns the engine with the lowest cost for decoding from a transferred KV cache.
+func (p *Placer) bestDecode(now time.Time, pool *pool, engines []*engine, req carawayspread.Placing) (choice, bool) {
 	var best choice
 	zone := p.env.Zone
-	if from := pool.engines[req.Handed]; from != nil {
-		zone = from.endpoint.Zone()
+	if source := pool.engines[req.Handed]; source != nil {
+		zone = source.endpoint.Zone()
 	}
 	traits := req.Service.Engine
-	var move time.Duration
+	var transferTime time.Duration
 	if traits.LinkBits > 0 {
-		move = time.Duration(float64(req.Prompt.Tokens) * float64(traits.TokenBytes) * 8 / float64(traits.LinkBits) * float64(time.Second))
+		transferTime = time.Duration(float64(req.Prompt.Tokens) * float64(traits.TokenBytes) * 8 / float64(traits.LinkBits) * float64(time.Second))
 	}
-	for e := range from(engines, req.Key) {
-		if e.reads() || !pool.open(now, e, req) {
+	for e := range rotated(engines, req.Key) {
+		if e.prefillOnly() || !pool.eligible(now, e, req) {
 			continue
 		}
 		l := p.load(now, e)
 		if !fits(l, e, req) {
 			continue
 		}
-		first := move + e.step(l.running)
+		first := transferTime + e.stepTime(l.running)
 		if e.wait(now) > 0 {
-			first += wholePiece * wholeFactor * startPerToken
+			first += prefillChunk * mixedPrefillFactor * prefillPerToken
 		}
-		cost := p.rest(now, e, l.running, req) + p.crossing(e, req)
-		transfer := transferPrice * move
+		cost := p.decodeCost(now, e, l.running, req) + p.crossZoneCost(e, req)
+		linkPrice := transferPrice * transferTime
 		if e.endpoint.Zone() != zone {
-			first += move * (zoneFactor - 1)
-			cost += otherZone
-			transfer *= otherZoneTransfer
+			first += transferTime * (crossZoneFactor - 1)
+			cost += crossZonePrice
+			linkPrice *= crossZoneTransferFactor
 		}
-		cost += min(transfer, time.Duration(transferPriceMost*float64(req.Route.Target)))
-		if bears := pool.bears(); bears > 0 && e.pause(l.running, traits.Stride, e.wait(now), req.Prompt.Tokens) > bears {
-			cost += req.Route.Target // it would be late by a pause
+		cost += min(linkPrice, time.Duration(maxTransferPrice*float64(req.Route.Target)))
+		if limit := pool.gapLimit(); limit > 0 && e.eventGap(l.running, traits.Stride, e.wait(now), req.Prompt.Tokens) > limit {
+			cost += req.Route.Target // it would be late by an event gap
 		}
 		cost += first
 		if best.engine == nil || cost < best.cost {
@@ -217,25 +215,25 @@
 	return best, best.engine != nil
 }
 
-// crossing prices the bytes of a request that go to another availability zone.
-func (p *Placer) crossing(e *engine, req carawayspread.Placing) time.Duration {
+// crossZoneCost prices the bytes of a request that go to another availability zone.
+func (p *Placer) crossZoneCost(e *engine, req carawayspread.Placing) time.Duration {
 	if e.endpoint.Zone() == p.env.Zone {
 		return 0
 	}
-	return otherZone + time.Duration(req.Bytes)*otherZoneByte
+	return crossZonePrice + time.Duration(req.Bytes)*crossZoneBytePrice
 }
 
-// rest prices the answer after its first event.
-func (p *Placer) rest(now time.Time, e *engine, running int, req carawayspread.Placing) time.Duration {
-	takes := time.Duration(size(req.Prompt)-req.Prompt.Tokens) * e.token(now, running)
-	price := time.Duration(tokenPrice * float64(takes))
-	if over := takes - time.Duration(answerShare*float64(req.Deadline.Sub(now))); over > 0 {
+// decodeCost prices the answer after its first event.
+func (p *Placer) decodeCost(now time.Time, e *engine, running int, req carawayspread.Placing) time.Duration {
+	decodeTime := time.Duration(sequenceTokens(req.Prompt)-req.Prompt.Tokens) * e.interTokenLatency(now, running)
+	price := time.Duration(decodePrice * float64(decodeTime))
+	if over := decodeTime - time.Duration(maxDecodeShare*float64(req.Deadline.Sub(now))); over > 0 {
 		price += over / 4
 	}
 	return price
 }
 
-// fits reports whether the engine has a slot and memory for the request.
+// fits reports whether the engine has a free slot and enough KV memory for the request.
 func fits(l load, e *engine, req carawayspread.Placing) bool {
 	traits := req.Service.Engine
 	slots := max(1, e.endpoint.Slots())
@@ -245,14 +243,15 @@
 	if l.running >= slots {
 		return false
 	}
-	return traits.KVTokens == 0 || float64(l.tokens+size(req.Prompt)) < memoryLimit*float64(traits.KVTokens)
+	return traits.KVTokens == 0 || float64(l.tokens+sequenceTokens(req.Prompt)) < kvCacheLimit*float64(traits.KVTokens)
 }
 
-// size returns the tokens of a request in an engine's memory.
-func size(prompt *carawayspread.Prompt) int {
-	out := prompt.Most
+// sequenceTokens returns the tokens of a request in an engine's KV memory: its prompt and its
+// expected output.
+func sequenceTokens(prompt *carawayspread.Prompt) int {
+	output := prompt.Most
 	if prompt.Hint > 0 {
-		out = min(out, prompt.Hint)
+		output = min(output, prompt.Hint)
 	}
-	return prompt.Tokens + out
+	return prompt.Tokens + output
 }
--- a/internal/decision/placement/replay_test.go
+++ b/internal/decision/placement/replay_test.go
@@ -16,10 +16,10 @@
 	_ "carawayspread/internal/decision/plainplacement"
 )
 
-// A replay plays a load against engines of a simple model: a reader works off
-// one prompt after the other at a tenth of a millisecond for each ten tokens,
-// finds the parts that it read lately, and 60 ms pass in any case. An engine
-// that answers reads at half the speed. Processes hear of each other after 2 ms.
+// replay simulates a load with engines of a simple model: a prefill engine processes one prompt
+// after the other at 10 µs a token, finds the parts that it prefilled lately, and each answer takes
+// another 60 ms. A decode engine prefills at half the speed. Notices reach the other processes
+// after 2 ms.
 type replay struct {
 	clock   *clockwork.FakeClock
 	rand    *rand.Rand
@@ -27,27 +27,27 @@
 	seq     int
 	engines map[carawayspread.EndpointID]*modelEngine
 	placers []carawayspread.Placer
-	told    bool // processes hear of each other
-
-	asked, inTime, refused, reread, shared int
-	large, largeServed                     int
-	wanted                                 []pattern // each request that came
-	late                                   int
-	crossed                                int
-	worst                                  time.Duration // wait of a request that was taken at once
+	gossip  bool // processes receive each other's notices
+
+	total, inTime, refused, recomputed, shared int
+	large, largeServed                         int
+	requests                                   []pattern // all requests that arrived
+	late                                       int
+	crossZone                                  int
+	worstWait                                  time.Duration // longest time of a request admitted at first submission
 }
 
 type modelEngine struct {
 	endpoint carawayspread.Endpoint
-	free     time.Time
-	read     map[uint64]time.Time
-	slow     float64
+	freeAt   time.Time
+	cachedAt map[uint64]time.Time
+	slowdown float64
 }
 
 const (
-	modelDelay = 60 * time.Millisecond
-	modelToken = 10 * time.Microsecond
-	modelKeeps = 8 * time.Second
+	modelDelay        = 60 * time.Millisecond
+	modelTimePerToken = 10 * time.Microsecond
+	modelCacheTTL     = 8 * time.Second
 )
 
 type event struct {
@@ -76,37 +76,37 @@
 	heap.Push(&r.events, event{r.clock.Now().Add(d), r.seq, run})
 }
 
-// load is one kind of requests.
+// pattern is one kind of request.
 type pattern struct {
 	perSecond float64
 	tokens    int
 	shared    int
-	things    int // different shared beginnings
+	prefixes  int // number of different shared prefixes
 	target    time.Duration
 	large     bool
 	bytes     int
-	spread    float64 // of the sizes: standard deviation of their logarithm
+	sigma     float64 // of the sizes: standard deviation of their logarithm
 }
 
-// sized returns the pattern with the size of one request.
-func (p pattern) sized(random *rand.Rand) pattern {
-	if p.spread > 0 {
-		factor := math.Exp(p.spread*random.NormFloat64() - p.spread*p.spread/2)
+// withRandomSize returns the pattern with the size of one request.
+func (p pattern) withRandomSize(random *rand.Rand) pattern {
+	if p.sigma > 0 {
+		factor := math.Exp(p.sigma*random.NormFloat64() - p.sigma*p.sigma/2)
 		p.tokens = p.shared + max(1, int(factor*float64(p.tokens-p.shared)))
 	}
 	return p
 }
 
-func newReplay(name string, told bool, processes, readers, answerers int) *replay {
+func newReplay(name string, gossip bool, processes, prefillEngines, decodeEngines int) *replay {
 	r := &replay{
-		clock: clockwork.NewFakeClock(), rand: rand.New(rand.NewPCG(1, 2)), told: told,
+		clock: clockwork.NewFakeClock(), rand: rand.New(rand.NewPCG(1, 2)), gossip: gossip,
 		engines: map[carawayspread.EndpointID]*modelEngine{},
 	}
 	newPlacer, _ := carawayspread.Placers.Get(name)
 	for n := range processes {
 		env := carawayspread.Environment{Clock: r.clock, Zone: "z0", Rand: rand.New(rand.NewPCG(3, uint64(n)))}
 		env.Tell = func(notice carawayspread.Notice) {
-			if !r.told {
+			if !r.gossip {
 				return
 			}
 			r.after(2*time.Millisecond, func() {
@@ -120,15 +120,15 @@
 		r.placers = append(r.placers, newPlacer(env))
 	}
 	var endpoints []carawayspread.Endpoint
-	for n := range readers + answerers {
+	for n := range prefillEngines + decodeEngines {
 		role := carawayspread.RolePrefill
-		if n >= readers {
+		if n >= prefillEngines {
 			role = carawayspread.RoleDecode
 		}
 		e := carawayspread.NewEndpoint(carawayspread.EndpointID(fmt.Sprint("w", n)), "s", fmt.Sprint("z", n%2), "10.0.0.1:1", false,
 			carawayspread.WithRole(role), carawayspread.WithSlots(64))
 		endpoints = append(endpoints, e)
-		r.engines[e.ID()] = &modelEngine{endpoint: e, read: map[uint64]time.Time{}, slow: 1}
+		r.engines[e.ID()] = &modelEngine{endpoint: e, cachedAt: map[uint64]time.Time{}, slowdown: 1}
 	}
 	for _, placer := range r.placers {
 		placer.SetEndpoints("s", endpoints)
@@ -136,7 +136,7 @@
 	return r
 }
 
-// play lets the patterns arrive for that long.
+// play runs the patterns for d, until all requests have ended.
 func (r *replay) play(d time.Duration, patterns ...pattern) *replay {
 	end := r.clock.Now().Add(d)
 	for _, p := range patterns {
@@ -160,13 +160,13 @@
 
 func (r *replay) request(p pattern) {
 	placer := r.placers[r.rand.IntN(len(r.placers))]
-	r.asked++
+	r.total++
 	if p.large {
 		r.large++
 	}
 	kind := p.tokens
-	p = p.sized(r.rand)
-	r.wanted = append(r.wanted, p)
+	p = p.withRandomSize(r.rand)
+	r.requests = append(r.requests, p)
 	req := r.placing(p)
 	req.Prompt.Parts[0].ID = req.Prompt.Parts[0].ID&(1<<20-1) + uint64(kind)<<20
 	r.place(placer, p, req)
@@ -174,7 +174,7 @@
 
 func (r *replay) placing(p pattern) carawayspread.Placing {
 	prompt := &carawayspread.Prompt{Tokens: p.tokens, Most: 20, Parts: []carawayspread.Part{
-		{ID: uint64(r.rand.IntN(max(1, p.things))) + uint64(p.tokens)<<20, Tokens: p.shared}, {ID: r.rand.Uint64(), Tokens: p.tokens - p.shared},
+		{ID: uint64(r.rand.IntN(max(1, p.prefixes))) + uint64(p.tokens)<<20, Tokens: p.shared}, {ID: r.rand.Uint64(), Tokens: p.tokens - p.shared},
 	}}
 	return carawayspread.Placing{
 		Route:   &carawayspread.Route{Target: p.target},
@@ -190,41 +190,41 @@
 			r.refused++
 			return
 		}
-		req.Late = true // its caller comes back once, when it was told to
+		req.Late = true // the caller retries once, after the given delay
 		r.after(refusal.RetryAfter(), func() { r.place(placer, p, req) })
 		return
 	}
 	now := r.clock.Now()
 	e := r.engines[at.Endpoint.ID()]
 	if e.endpoint.Zone() != "z0" {
-		r.crossed++
+		r.crossZone++
 	}
-	stay := placer.Sent(req, at)
+	sent := placer.Sent(req, at)
 	chain := req.Prompt.Chains()[0]
 	took := 5 * time.Millisecond
 	if req.Handed == "" {
-		fresh := p.tokens
-		if seen, ok := e.read[chain]; ok && now.Sub(seen) < modelKeeps {
-			fresh -= p.shared
+		uncached := p.tokens
+		if cachedAt, ok := e.cachedAt[chain]; ok && now.Sub(cachedAt) < modelCacheTTL {
+			uncached -= p.shared
 		} else {
 			for _, other := range r.engines {
-				if seen, ok := other.read[chain]; ok && now.Sub(seen) < modelKeeps {
-					r.reread++
+				if cachedAt, ok := other.cachedAt[chain]; ok && now.Sub(cachedAt) < modelCacheTTL {
+					r.recomputed++
 					break
 				}
 			}
 		}
-		e.read[chain] = now
-		work := time.Duration(float64(fresh)*e.slow) * modelToken
+		e.cachedAt[chain] = now
+		work := time.Duration(float64(uncached)*e.slowdown) * modelTimePerToken
 		if !at.Reads {
 			work *= 2
 		}
-		e.free = later(now, e.free).Add(work)
-		took = e.free.Sub(now) + modelDelay
+		e.freeAt = later(now, e.freeAt).Add(work)
+		took = e.freeAt.Sub(now) + modelDelay
 	}
 	r.after(took, func() {
-		stay.Answered()
-		stay.End(carawayspread.OutcomeServed)
+		sent.Answered()
+		sent.End(carawayspread.OutcomeServed)
 		if at.Reads {
 			req.Handed = at.Endpoint.ID()
 			r.place(placer, p, req)
@@ -232,7 +232,7 @@
 		}
 		waited := r.clock.Now().Sub(req.Arrived)
 		if !req.Late {
-			r.worst = max(r.worst, waited)
+			r.worstWait = max(r.worstWait, waited)
 		}
 		if waited <= p.target {
 			r.inTime++
@@ -245,36 +245,36 @@
 	})
 }
 
-func (r *replay) share() float64 { return float64(r.inTime) / float64(r.asked) }
+func (r *replay) share() float64 { return float64(r.inTime) / float64(r.total) }
 
 var (
-	long  = pattern{perSecond: 50, tokens: 12000, shared: 5400, things: 60, target: 600 * time.Millisecond, bytes: 12000}
-	short = pattern{perSecond: 140, tokens: 2400, shared: 500, things: 40, target: 400 * time.Millisecond, bytes: 2400}
-	huge  = pattern{perSecond: 1, tokens: 80000, shared: 500, things: 1, target: 600 * time.Millisecond, large: true, bytes: 80000}
+	long  = pattern{perSecond: 50, tokens: 12000, shared: 5400, prefixes: 60, target: 600 * time.Millisecond, bytes: 12000}
+	short = pattern{perSecond: 140, tokens: 2400, shared: 500, prefixes: 40, target: 400 * time.Millisecond, bytes: 2400}
+	huge  = pattern{perSecond: 1, tokens: 80000, shared: 500, prefixes: 1, target: 600 * time.Millisecond, large: true, bytes: 80000}
 )
 
-// Callers get their first event in time where plain rules leave them waiting.
-// Long and short prompts arrive at four processes, near what the engines can
-// read; a rule that knows no time queues them behind each other.
-func TestMoreAreInTimeThanWithPlainRules(t *testing.T) {
-	const seconds = 20 * time.Second
-	own := newReplay("estimate", true, 4, 6, 12).play(seconds, long, short)
+// Compares the share of requests in time with that of plain placement rules. Long and short prompts
+// arrive at four processes, near the prefill capacity of the engines; a rule that does not estimate
+// times queues them behind each other.
+func TestEstimateBeatsPlainPlacement(t *testing.T) {
+	const duration = 20 * time.Second
+	estimate := newReplay("estimate", true, 4, 6, 12).play(duration, long, short)
 	for _, name := range []string{"roundRobin", "leastOutstanding", "fixedHome", "boundedHome"} {
-		plain := newReplay(name, true, 4, 6, 12).play(seconds, long, short)
-		t.Logf("%s %.3f, estimate %.3f in time", name, plain.share(), own.share())
-		qt.Check(t, own.share() > plain.share()+0.05, qt.IsTrue, qt.Commentf(name))
+		plain := newReplay(name, true, 4, 6, 12).play(duration, long, short)
+		t.Logf("%s %.3f, estimate %.3f in time", name, plain.share(), estimate.share())
+		qt.Check(t, estimate.share() > plain.share()+0.05, qt.IsTrue, qt.Commentf(name))
 	}
-	qt.Check(t, own.share() > 0.93, qt.IsTrue, qt.Commentf("%.3f", own.share()))
+	qt.Check(t, estimate.share() > 0.93, qt.IsTrue, qt.Commentf("%.3f", estimate.share()))
 }
 
-// Processes that cannot see each other's requests send them to the same engine.
-// The load is the same; once each process hears of the others, once not. Where
-// prompts share beginnings, the homes of these spread the requests of processes
-// that hear nothing, but the worst wait still tells them apart.
+// Guards against processes that do not know of each other's requests sending them to the same
+// engine. The load is the same with and without notices. Where prompts share prefixes, their
+// affinity engines spread the requests of processes without notices too, but the longest wait still
+// differs.
 func TestNoticesPreventHerding(t *testing.T) {
 	for name, c := range map[string]struct {
 		shared int
-		gain   float64 // of the share in time
+		gain   float64 // in the share of requests in time
 	}{
 		"nothing shared":    {0, 0.1},
 		"shared beginnings": {short.shared, -0.05},
@@ -282,55 +282,56 @@
 		t.Run(name, func(t *testing.T) {
 			burst := short
 			burst.perSecond, burst.shared = 430, c.shared
-			told := newReplay("estimate", true, 8, 6, 6).play(20*time.Second, burst)
-			alone := newReplay("estimate", false, 8, 6, 6).play(20*time.Second, burst)
-			t.Logf("told %.3f worst %v, alone %.3f worst %v", told.share(), told.worst, alone.share(), alone.worst)
-			qt.Check(t, told.share() > alone.share()+c.gain, qt.IsTrue)
-			qt.Check(t, told.worst*2 < alone.worst, qt.IsTrue)
+			gossip := newReplay("estimate", true, 8, 6, 6).play(20*time.Second, burst)
+			isolated := newReplay("estimate", false, 8, 6, 6).play(20*time.Second, burst)
+			t.Logf("with notices %.3f worst %v, without %.3f worst %v", gossip.share(), gossip.worstWait, isolated.share(), isolated.worstWait)
+			qt.Check(t, gossip.share() > isolated.share()+c.gain, qt.IsTrue)
+			qt.Check(t, gossip.worstWait*2 < isolated.worstWait, qt.IsTrue)
 		})
 	}
 }
 
-// Beginnings that an engine holds are not read again elsewhere as long as its
-// queue is short. Without a memory of them every engine reads every beginning.
-func TestSharedBeginningsFindTheirEngine(t *testing.T) {
-	calm := long
-	calm.perSecond, calm.things = 12, 30
-	own := newReplay("estimate", true, 4, 6, 12).play(20*time.Second, calm)
-	plain := newReplay("leastOutstanding", true, 4, 6, 12).play(20*time.Second, calm)
-	t.Logf("read again: estimate %d, leastOutstanding %d of %d", own.reread, plain.reread, own.asked)
-	qt.Check(t, own.reread*2 < plain.reread, qt.IsTrue)
+// Guards against prefilling a prefix again at another engine while the one that holds it has a
+// short queue. A placement that does not track cached prefixes prefills every prefix at every
+// engine.
+func TestSharedPrefixesReachTheirEngine(t *testing.T) {
+	light := long
+	light.perSecond, light.prefixes = 12, 30
+	estimate := newReplay("estimate", true, 4, 6, 12).play(20*time.Second, light)
+	plain := newReplay("leastOutstanding", true, 4, 6, 12).play(20*time.Second, light)
+	t.Logf("prefilled again: estimate %d, leastOutstanding %d of %d", estimate.recomputed, plain.recomputed, estimate.total)
+	qt.Check(t, estimate.recomputed*2 < plain.recomputed, qt.IsTrue)
 }
 
-// The largest requests are served although their reading alone takes longer
-// than their target, and they do not hold up the others.
-func TestLargestAreServedToo(t *testing.T) {
+// Guards against refusing the largest requests, whose prefill alone takes longer than their target;
+// they must not delay the others.
+func TestLargestRequestsAreServed(t *testing.T) {
 	r := newReplay("estimate", true, 4, 6, 12)
 	_, err := r.placers[0].Place(r.placing(huge))
-	qt.Check(t, err, qt.IsNil, qt.Commentf("nothing else is there"))
+	qt.Check(t, err, qt.IsNil, qt.Commentf("no other load"))
 	late := r.placing(huge)
 	late.Late = true
 	_, err = r.placers[0].Place(late)
-	qt.Check(t, err, qt.IsNil, qt.Commentf("it was refused before, and nothing else is there"))
+	qt.Check(t, err, qt.IsNil, qt.Commentf("refused before, no other load"))
 	busy := short
 	busy.perSecond = 200
 	r.play(20*time.Second, busy, huge)
 	t.Logf("%d of %d large served, %.3f in time", r.largeServed, r.large, r.share())
 	qt.Check(t, r.largeServed, qt.Equals, r.large)
-	qt.Check(t, float64(r.inTime)/float64(r.asked-r.large) > 0.95, qt.IsTrue)
+	qt.Check(t, float64(r.inTime)/float64(r.total-r.large) > 0.95, qt.IsTrue)
 }
 
-// At three times what the engines can do, callers are refused at once and told
-// when to come back; those that are taken still get their answer in time.
+// At three times the capacity of the engines, callers are refused at once with a retry delay, and
+// admitted requests still meet their target.
 func TestOverloadIsRefusedAtOnce(t *testing.T) {
-	flood := long
-	flood.perSecond = 200
-	r := newReplay("estimate", true, 4, 6, 12).play(10*time.Second, flood)
-	taken := r.asked - r.refused
-	t.Logf("%d asked, %d refused, %d in time, worst %v", r.asked, r.refused, r.inTime, r.worst)
-	qt.Check(t, r.worst < flood.target*3/2, qt.IsTrue, qt.Commentf("whoever is taken at once is answered soon"))
-	qt.Check(t, r.refused > r.asked/5, qt.IsTrue)
-	qt.Check(t, float64(r.inTime)/float64(taken) > 0.8, qt.IsTrue)
+	overload := long
+	overload.perSecond = 200
+	r := newReplay("estimate", true, 4, 6, 12).play(10*time.Second, overload)
+	admitted := r.total - r.refused
+	t.Logf("%d requests, %d refused, %d in time, worst %v", r.total, r.refused, r.inTime, r.worstWait)
+	qt.Check(t, r.worstWait < overload.target*3/2, qt.IsTrue, qt.Commentf("requests admitted at first submission are answered soon"))
+	qt.Check(t, r.refused > r.total/5, qt.IsTrue)
+	qt.Check(t, float64(r.inTime)/float64(admitted) > 0.8, qt.IsTrue)
 	_, err := r.placers[0].Place(carawayspread.Placing{Service: carawayspread.RoutedService{Name: "none"}})
 	refusal, ok := carawayspread.AsError(err)
 	qt.Assert(t, ok, qt.IsTrue)
@@ -338,130 +339,130 @@
 	qt.Check(t, refusal.RetryAfter() > 0, qt.IsTrue)
 }
 
-// An engine that is three times slower than the others gets less, once its
-// answers have told so, whether or not it had a queue when they were read.
+// An engine that is three times slower than the others gets fewer requests once its answers have
+// shown the slowdown, whether or not it had a queue when the prompts were sent.
 func TestSlowEngineGetsLess(t *testing.T) {
 	for seed := range uint64(8) {
-		t.Run(fmt.Sprint("draw ", seed), func(t *testing.T) {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			r := newReplay("estimate", true, 2, 4, 4)
 			r.rand = rand.New(rand.NewPCG(1, 2+seed))
-			r.engines["w0"].slow = 3
+			r.engines["w0"].slowdown = 3
 			r.play(20*time.Second, long)
 			t.Logf("%.3f in time", r.share())
 			qt.Check(t, r.share() > 0.75, qt.IsTrue)
 			engines := r.placers[0].(*Placer).pools["s"].engines
-			t.Logf("pace %.2f against %.2f", engines["w0"].pace, engines["w1"].pace)
-			qt.Check(t, engines["w0"].pace > 1.4*engines["w1"].pace, qt.IsTrue)
+			t.Logf("slowdown %.2f and %.2f", engines["w0"].slowdown, engines["w1"].slowdown)
+			qt.Check(t, engines["w0"].slowdown > 1.4*engines["w1"].slowdown, qt.IsTrue)
 		})
 	}
 }
 
-// An engine is slow, and callers are few: none waits, and nobody falls behind. The
-// time of each answer tells its pace all the same.
-func TestPaceIsLearntWhereNobodyWaits(t *testing.T) {
+// The slowdown of an engine is learned under light load too, when no request waits and no backlog
+// builds up.
+func TestSlowdownIsLearnedWithoutQueue(t *testing.T) {
 	r := newReplay("estimate", true, 1, 1, 1)
-	r.engines["w0"].slow = 3
-	calm := long
-	calm.perSecond, calm.things = 1, 1
-	r.play(20*time.Second, calm)
-	pace := r.placers[0].(*Placer).pools["s"].engines["w0"].pace
-	qt.Check(t, pace > 1.4, qt.IsTrue, qt.Commentf("%.2f", pace))
+	r.engines["w0"].slowdown = 3
+	light := long
+	light.perSecond, light.prefixes = 1, 1
+	r.play(20*time.Second, light)
+	slowdown := r.placers[0].(*Placer).pools["s"].engines["w0"].slowdown
+	qt.Check(t, slowdown > 1.4, qt.IsTrue, qt.Commentf("%.2f", slowdown))
 }
 
-// Requests stay in their zone where that costs them nothing.
+// Requests stay in their availability zone where that costs them nothing.
 func TestRequestsStayInTheirZone(t *testing.T) {
-	calm := short
-	calm.perSecond, calm.shared = 10, 0
-	r := newReplay("estimate", true, 2, 6, 6).play(10*time.Second, calm)
-	t.Logf("%d crossed of %d", r.crossed, r.asked)
-	qt.Check(t, r.crossed*3 < r.asked, qt.IsTrue)
+	light := short
+	light.perSecond, light.shared = 10, 0
+	r := newReplay("estimate", true, 2, 6, 6).play(10*time.Second, light)
+	t.Logf("%d of %d crossed zones", r.crossZone, r.total)
+	qt.Check(t, r.crossZone*3 < r.total, qt.IsTrue)
 }
 
-// An engine that has just come is judged by what is known of its kind: taken
-// for faster than it is, it would get everything at first.
-func TestNewEngineIsJudgedByItsKind(t *testing.T) {
+// Guards against a new engine that gets all requests at first because it is assumed to be faster
+// than it is: it inherits the learned values of its role.
+func TestNewEngineInheritsFromItsRole(t *testing.T) {
 	r := newReplay("estimate", true, 1, 2, 2).play(5*time.Second, short)
 	p := r.placers[0].(*Placer)
 	var all []carawayspread.Endpoint
 	for _, e := range r.engines {
 		all = append(all, e.endpoint)
 	}
-	for id, delay := range map[carawayspread.EndpointID]time.Duration{"w0": 3 * startDelay, "w1": 3 * startDelay, "w2": 2 * startDelay, "w3": 2 * startDelay} {
+	for id, delay := range map[carawayspread.EndpointID]time.Duration{"w0": 3 * initialDelay, "w1": 3 * initialDelay, "w2": 2 * initialDelay, "w3": 2 * initialDelay} {
 		e := p.pools["s"].engines[id]
-		qt.Check(t, e.learnt.IsZero(), qt.IsFalse)
+		qt.Check(t, e.learnedAt.IsZero(), qt.IsFalse)
 		e.delay = delay
 	}
 	all = append(all, carawayspread.NewEndpoint("new", "s", "z0", "10.0.0.1:2", false, carawayspread.WithRole(carawayspread.RolePrefill)))
 	p.SetEndpoints("s", all)
-	qt.Check(t, p.pools["s"].engines["new"].delay, qt.Equals, 3*startDelay)
+	qt.Check(t, p.pools["s"].engines["new"].delay, qt.Equals, 3*initialDelay)
 }
 
-// An engine that is slow and in use stays known as slow: at a peak nothing tells its
-// pace anew for seconds, since all that it reads waits.
+// Guards against a busy slow engine being taken for a sound one: at a peak no answer updates its
+// slowdown for seconds, since all its prefills wait in its queue.
 func TestSlowEngineInUseStaysSlow(t *testing.T) {
 	r := newReplay("estimate", true, 1, 3, 3).play(3*time.Second, short)
 	pool := r.placers[0].(*Placer).pools["s"]
 	e := pool.engines["w0"]
-	e.pace, e.learnt = paceHigh, r.clock.Now()
+	e.slowdown, e.learnedAt = maxSlowdown, r.clock.Now()
 	for range 40 {
 		r.clock.Advance(500 * time.Millisecond)
-		e.begin(r.clock.Now(), time.Second)
-		pool.relax(r.clock.Now())
+		e.addPrefill(r.clock.Now(), time.Second)
+		pool.decay(r.clock.Now())
 	}
-	qt.Check(t, e.pace, qt.Equals, float64(paceHigh))
+	qt.Check(t, e.slowdown, qt.Equals, float64(maxSlowdown))
 }
 
-// An engine that one bad answer made look slow is tried again. It gets nothing
-// for a while, and what was learnt of it fades towards the others.
-func TestSlowLookFades(t *testing.T) {
+// Guards against an engine that gets no requests any more because one bad answer made it look slow:
+// without requests, its slowdown decays towards that of the others.
+func TestLearnedSlowdownDecays(t *testing.T) {
 	r := newReplay("estimate", true, 1, 3, 3).play(3*time.Second, short)
 	pool := r.placers[0].(*Placer).pools["s"]
 	e := pool.engines["w0"]
-	e.pace, e.learnt = paceHigh, r.clock.Now()
+	e.slowdown, e.learnedAt = maxSlowdown, r.clock.Now()
 	for range 40 {
 		r.clock.Advance(500 * time.Millisecond)
-		pool.relax(r.clock.Now())
+		pool.decay(r.clock.Now())
 	}
-	t.Logf("pace %.2f", e.pace)
-	qt.Check(t, e.pace < 2, qt.IsTrue)
+	t.Logf("slowdown %.2f", e.slowdown)
+	qt.Check(t, e.slowdown < 2, qt.IsTrue)
 }
 
-// The largest requests of a class are not left out where engines are short.
-// Their reading alone takes longer than the target, and others fill the engines.
-func TestLargestAreNotLeftOutUnderLoad(t *testing.T) {
+// Guards against refusing the largest requests of a class under overload, when their prefill alone
+// takes longer than the target and other requests fill the engines.
+func TestOverloadServesLargestRequests(t *testing.T) {
 	mid := pattern{perSecond: 70, tokens: 6000, shared: 0, target: 600 * time.Millisecond}
 	big := pattern{perSecond: 9, tokens: 30000, shared: 0, target: 600 * time.Millisecond, large: true}
 	r := newReplay("estimate", true, 2, 4, 3).play(30*time.Second, mid, big)
-	rest := float64(r.asked-r.large-(r.refused-(r.large-r.largeServed))) / float64(r.asked-r.large)
+	rest := float64(r.total-r.large-(r.refused-(r.large-r.largeServed))) / float64(r.total-r.large)
 	share := float64(r.largeServed) / float64(r.large)
 	t.Logf("%.2f of the largest served, %.2f of the others", share, rest)
 	qt.Check(t, share > 0.5*rest, qt.IsTrue)
 }
 
-// No message of a peer puts an engine out of use for longer than one answer may
-// tell of it.
-func TestPeerMovesABacklogOnlySoFar(t *testing.T) {
+// Guards against one notice of a peer that puts an engine out of use: a reported lateness moves the
+// backlog no further than one answer may.
+func TestPeerBacklogCorrectionIsBounded(t *testing.T) {
 	r := newReplay("estimate", true, 1, 2, 2)
 	p := r.placers[0].(*Placer)
 	e := p.pools["s"].engines["w0"]
-	e.begin(r.clock.Now(), time.Second)
+	e.addPrefill(r.clock.Now(), time.Second)
 	p.Heard("peer", []carawayspread.Notice{{Endpoint: e.hash, Late: time.Hour}})
-	qt.Check(t, e.wait(r.clock.Now()), qt.Equals, time.Second+surprise)
+	qt.Check(t, e.wait(r.clock.Now()), qt.Equals, time.Second+maxBacklogCorrection)
 	p.Heard("peer", []carawayspread.Notice{{Endpoint: e.hash, Late: -time.Hour}})
 	qt.Check(t, e.wait(r.clock.Now()), qt.Equals, time.Second)
 }
 
-// Two processes' prompts wait at an engine that is behind, and the answer to one shows
-// it. The other is expected later by as much: its own answer, as late as the first,
-// must not have the same lateness counted again.
+// Guards against counting the same lateness twice. The prompts of two processes wait at an engine
+// that is behind, and the answer to one of them shows it. The expected end of the other moves by as
+// much, so that its own answer, equally late, adds no further correction.
 func TestExpectedEndMovesWithTheBacklog(t *testing.T) {
 	r := newReplay("estimate", true, 1, 2, 2)
 	p := r.placers[0].(*Placer)
 	e := p.pools["s"].engines["w0"]
 	now := r.clock.Now()
-	start, end := e.begin(now, time.Second)
-	s := &stay{placer: p, engine: e, sent: now, start: start, end: end, shift: e.shift, pace: e.pace}
+	start, end := e.addPrefill(now, time.Second)
+	a := &attempt{placer: p, engine: e, sentAt: now, expectedStart: start, expectedEnd: end, backlogShift: e.backlogShift, slowdown: e.slowdown}
 	p.Heard("peer", []carawayspread.Notice{{Endpoint: e.hash, Late: 200 * time.Millisecond}})
-	qt.Check(t, e.through(s), qt.Equals, end.Add(200*time.Millisecond))
+	qt.Check(t, e.expectedEnd(a), qt.Equals, end.Add(200*time.Millisecond))
 	qt.Check(t, e.wait(now), qt.Equals, 1200*time.Millisecond)
 }
--- a/internal/decision/placement/roles.go
+++ b/internal/decision/placement/roles.go
@@ -9,33 +9,31 @@
 )
 
 const (
-	// mostAside bounds what a peer may say of an engine that changes its role.
-	mostAside = 30 * time.Second
-	// goneFor is how long an endpoint is out of use whose place another has taken:
-	// the list shows it by then, as entries lapse after some heartbeats.
+	// maxPeerUnavailable bounds how long a peer's notice may keep an engine out of use.
+	maxPeerUnavailable = 30 * time.Second
+	// staleEntryDuration is how long an endpoint is out of use after another one has taken its
+	// place; by then the endpoint list shows the change, as entries expire after some heartbeats.
 	//
-	// Failure: an engine has started anew under another identifier, or has another
-	// role, and its old entry is still listed. Symptom: the entry looks idle and
-	// gets request after request; each is refused, and the retries that all
-	// processes share are used up.
-	goneFor = 4 * time.Second
-	// leavingFor is how long an endpoint is out of use of which a peer says that it
-	// leaves: the list is there by then.
+	// The old entry of an engine that restarted under another identifier, or has another role, is
+	// still listed and looks idle. It would get request after request; each is refused, and the
+	// retry budget that all processes share is used up.
+	staleEntryDuration = 4 * time.Second
+	// leavingDuration is how long an endpoint is out of use that a peer reports as leaving; by then
+	// the endpoint list has arrived.
 	//
-	// Failure: the list takes seconds to reach hundreds of processes, one after the
-	// other. Symptom: those that it reaches last send requests to an endpoint that has
-	// been leaving for as long.
-	leavingFor = 10 * time.Second
-	// unreachableFor is how long one that takes no connection is out of use, by
-	// this process alone, whose own way to it may be cut.
+	// The list takes seconds to reach hundreds of processes, one after the other. Those that it
+	// reaches last would send requests to an endpoint that has been leaving for as long.
+	leavingDuration = 10 * time.Second
+	// unreachableDuration is how long an endpoint that accepts no connection is out of use. Only
+	// this process avoids it, since the fault may be in its own network path.
 	//
-	// Failure: more engines stop together than may be ejected at a time. Symptom:
-	// the rest of them look idle, and each request tries them first. Half a second
-	// costs one attempt in some ten, and little where the engine is back at once.
-	unreachableFor = 500 * time.Millisecond
-	// readPerToken is the time that a reader takes for a token of a prompt of
-	// usual length, attention included.
-	readPerToken = 12500 * time.Nanosecond
+	// When more engines stop together than may be ejected at a time, the rest of them look idle,
+	// and each request would try them first. Half a second costs about one attempt in ten, and
+	// little if the engine is back at once.
+	unreachableDuration = 500 * time.Millisecond
+	// nominalTimePerToken is the nominal prefill time of a token of a prompt of usual length,
+	// attention included.
+	nominalTimePerToken = 12500 * time.Nanosecond
 )
 
 var _ carawayspread.RoleSource = (*Placer)(nil)
@@ -58,26 +56,26 @@
 
 func (p *Placer) roles(now time.Time, pool *pool) (carawayspread.ServiceRoles, bool) {
 	s := carawayspread.ServiceRoles{Endpoints: make(map[carawayspread.EndpointID]carawayspread.Endpoint, len(pool.ordered))}
-	readers := 0
+	prefillEngines := 0
 	for _, e := range pool.ordered {
 		id := e.endpoint.ID()
 		running := p.load(now, e).running
 		state := carawayspread.RoleState{
-			Endpoint: id, Role: e.endpoint.Role(), Changing: e.aside.After(now),
+			Endpoint: id, Role: e.endpoint.Role(), Changing: e.unavailableUntil.After(now),
 			Leaving: e.endpoint.Leaving() || !pool.ejector.Allowed(id), Running: running,
-			AnswersOnly: !e.reads() && !pool.readsBeside(e, running),
+			AnswersOnly: !e.prefillOnly() && !pool.toleratesPrefill(e, running),
 		}
-		if e.reads() {
-			readers++
-			state.PrefillRate = float64(time.Second) / (float64(readPerToken) * e.pace)
+		if e.prefillOnly() {
+			prefillEngines++
+			state.PrefillRate = float64(time.Second) / (float64(nominalTimePerToken) * e.slowdown)
 		}
 		s.Engines = append(s.Engines, state)
 		s.Endpoints[id] = e.endpoint
 	}
-	since := now.Sub(pool.asked)
-	arrived := pool.arrived
-	pool.arrived, pool.asked = 0, now
-	if readers == 0 || since <= 0 {
+	since := now.Sub(pool.demandSince)
+	arrived := pool.arrivedTokens
+	pool.arrivedTokens, pool.demandSince = 0, now
+	if prefillEngines == 0 || since <= 0 {
 		return s, false
 	}
 	s.Demand = carawayspread.Demand{Taken: now, Classes: []carawayspread.ClassDemand{{
@@ -87,7 +85,7 @@
 }
 
 // Gone implements carawayspread.Placer.
-func (p *Placer) Gone(id carawayspread.EndpointID) { p.Aside(id, goneFor) }
+func (p *Placer) Gone(id carawayspread.EndpointID) { p.Aside(id, staleEntryDuration) }
 
 // Aside implements carawayspread.RoleSource.
 func (p *Placer) Aside(id carawayspread.EndpointID, d time.Duration) {
@@ -95,8 +93,8 @@
 	defer p.mu.Unlock()
 	for _, pool := range p.pools {
 		if e := pool.engines[id]; e != nil {
-			e.aside = later(e.aside, p.env.Clock.Now().Add(d))
-			p.env.Tell(carawayspread.Notice{Endpoint: e.hash, Running: e.own, Tokens: e.tokens, Aside: d})
+			e.unavailableUntil = later(e.unavailableUntil, p.env.Clock.Now().Add(d))
+			p.env.Tell(carawayspread.Notice{Endpoint: e.hash, Running: e.ownAttempts, Tokens: e.ownTokens, Aside: d})
 		}
 	}
 }
--- a/internal/decision/placement/roles_test.go
+++ b/internal/decision/placement/roles_test.go
@@ -15,10 +15,9 @@
 		carawayspread.WithRole(role), carawayspread.WithSlots(8))
 }
 
-// Requests keep off an engine that changes its role, here and at the peer that is
-// told, and reach it again as soon as its entry shows the new role, or when the
-// time is over.
-func TestEngineAsideGetsNothing(t *testing.T) {
+// Requests avoid an engine that changes its role, in this process and at the notified peer. They
+// reach it again as soon as its entry shows the new role, or when the time has passed.
+func TestUnavailableEngineGetsNoRequests(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
 	peer := New(carawayspread.Environment{Clock: clock, Zone: "z"})
 	p := New(carawayspread.Environment{Clock: clock, Zone: "z", Tell: func(n carawayspread.Notice) {
@@ -47,12 +46,12 @@
 	p.Aside("changes", 12*time.Second)
 	for _, placer := range []*Placer{p, peer} {
 		qt.Check(t, used(placer), qt.DeepEquals, map[carawayspread.EndpointID]bool{"stays": true})
-		placer.SetEndpoints("s", all) // the entry is still the old one
+		placer.SetEndpoints("s", all) // the entry still shows the old role
 		qt.Check(t, used(placer), qt.HasLen, 1)
 	}
-	// An answer that came late says that its entry is wrong: no reason to use it sooner.
+	// A late notice that the entry is wrong does not shorten the time out of use.
 	p.Gone("changes")
-	clock.Advance(goneFor + time.Second)
+	clock.Advance(staleEntryDuration + time.Second)
 	for _, placer := range []*Placer{p, peer} {
 		qt.Check(t, used(placer), qt.HasLen, 1)
 	}
@@ -65,15 +64,15 @@
 	qt.Check(t, used(peer), qt.HasLen, 2)
 }
 
-// What a policy plans by is the work of all processes since it last asked.
-func TestRolesTellTheDemand(t *testing.T) {
+// The demand that a role policy plans with is the work of all processes since the last call.
+func TestRolesReportDemand(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
 	p := New(carawayspread.Environment{Clock: clock, Zone: "z"})
 	p.SetEndpoints("s", []carawayspread.Endpoint{endpointOf("reads", carawayspread.RolePrefill), endpointOf("answers", carawayspread.RoleDecode)})
 	p.Roles()
-	reads := p.byHash[hashOf("reads")]
-	p.Heard("other", []carawayspread.Notice{{Endpoint: reads.hash, Running: 3, Work: time.Millisecond, Read: 5000}})
-	p.Heard("other", []carawayspread.Notice{{Endpoint: reads.hash, Running: 3, Read: 400}}) // no reading of its own
+	prefill := p.byHash[hashOf("reads")]
+	p.Heard("other", []carawayspread.Notice{{Endpoint: prefill.hash, Running: 3, Work: time.Millisecond, Read: 5000}})
+	p.Heard("other", []carawayspread.Notice{{Endpoint: prefill.hash, Running: 3, Read: 400}}) // a notice without a prefill
 	clock.Advance(2 * time.Second)
 	all := p.Roles()
 	qt.Assert(t, all, qt.HasLen, 1)
--- a/internal/decision/placement/transfers_test.go
+++ b/internal/decision/placement/transfers_test.go
@@ -11,40 +11,40 @@
 	"carawayspread"
 )
 
-// Guards against KV caches that cross availability zones for a millisecond less of
-// waiting: long prompts are read in one zone and answered there, though engines of
-// others are as free, and where that one is full they still go elsewhere.
+// Guards against KV caches that cross availability zones to save a millisecond of waiting: long
+// prompts are prefilled and decoded in one zone, though engines of other zones are as free, and go
+// to another zone where their own is full.
 func TestTransfersStayInTheirZone(t *testing.T) {
 	for name, test := range map[string]struct {
-		link   int64
-		busy   carawayspread.Notice // what the engines that answer in zone a have beside
-		within bool
+		link     int64
+		busy     carawayspread.Notice // additional load of the decode engines in zone a
+		sameZone bool
 	}{
-		"free":                   {link: 550e9, within: true},
-		"a little busier":        {link: 550e9, busy: carawayspread.Notice{Work: 30 * time.Millisecond}, within: true},
-		"busier, a faster link":  {link: 1700e9, busy: carawayspread.Notice{Work: 30 * time.Millisecond}, within: true},
-		"the zone takes no more": {link: 550e9, busy: carawayspread.Notice{Running: 64}},
+		"free":                  {link: 550e9, sameZone: true},
+		"slightly busier":       {link: 550e9, busy: carawayspread.Notice{Work: 30 * time.Millisecond}, sameZone: true},
+		"busier, a faster link": {link: 1700e9, busy: carawayspread.Notice{Work: 30 * time.Millisecond}, sameZone: true},
+		"the zone is full":      {link: 550e9, busy: carawayspread.Notice{Running: 64}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClockAt(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
 			p := New(carawayspread.Environment{Clock: clock, Zone: "a", Tell: func(carawayspread.Notice) {}})
-			zones, answers := map[carawayspread.EndpointID]string{}, map[carawayspread.EndpointID]bool{}
+			zones, decodes := map[carawayspread.EndpointID]string{}, map[carawayspread.EndpointID]bool{}
 			var endpoints []carawayspread.Endpoint
 			for i := range 24 {
 				id, zone, role := carawayspread.EndpointID(fmt.Sprint("w", i)), []string{"a", "b", "c"}[i%3], carawayspread.RoleDecode
 				if i < 9 {
 					role = carawayspread.RolePrefill
 				}
-				answers[id] = role == carawayspread.RoleDecode
+				decodes[id] = role == carawayspread.RoleDecode
 				zones[id] = zone
 				endpoints = append(endpoints, carawayspread.NewEndpoint(id, "s", zone, "10.0.0.1:1", false,
 					carawayspread.WithRole(role), carawayspread.WithSlots(64)))
 			}
 			p.SetEndpoints("s", endpoints)
-			moves, within := 0, 0
+			transfers, sameZone := 0, 0
 			for n := range 200 {
 				for id, zone := range zones {
-					if zone == "a" && answers[id] && (test.busy.Work > 0 || test.busy.Running > 0) {
+					if zone == "a" && decodes[id] && (test.busy.Work > 0 || test.busy.Running > 0) {
 						test.busy.Endpoint = hashOf(id)
 						p.Heard("peer", []carawayspread.Notice{test.busy})
 					}
@@ -60,23 +60,23 @@
 				at, err := p.Place(req)
 				qt.Assert(t, err, qt.IsNil)
 				if at.Reads && zones[at.Endpoint.ID()] == "a" {
-					reading := p.Sent(req, at)
+					prefill := p.Sent(req, at)
 					req.Handed = at.Endpoint.ID()
 					next, err := p.Place(req)
 					qt.Assert(t, err, qt.IsNil)
-					moves++
+					transfers++
 					if zones[next.Endpoint.ID()] == "a" {
-						within++
+						sameZone++
 					}
-					reading.Answered()
-					reading.End(carawayspread.OutcomeServed)
+					prefill.Answered()
+					prefill.End(carawayspread.OutcomeServed)
 				}
 				clock.Advance(16 * time.Millisecond)
 			}
-			share := float64(within) / float64(max(1, moves))
-			t.Logf("%d of 200 read in zone a, %.2f answered there", moves, share)
-			qt.Check(t, moves > 40, qt.IsTrue, qt.Commentf("%d", moves))
-			if test.within {
+			share := float64(sameZone) / float64(max(1, transfers))
+			t.Logf("%d of 200 prefilled in zone a, %.2f decoded there", transfers, share)
+			qt.Check(t, transfers > 40, qt.IsTrue, qt.Commentf("%d", transfers))
+			if test.sameZone {
 				qt.Check(t, share >= 0.95, qt.IsTrue, qt.Commentf("%.2f", share))
 			} else {
 				qt.Check(t, share, qt.Equals, 0.0)
