--- a/internal/decision/placement/attempt.go
+++ b/internal/decision/placement/attempt.go
@@ -97,7 +97,7 @@
 }
 
 // attributableWork returns the work that a measured prefill time is compared with. If no engine was
-// known to hold the prefix, any time between warm and cold tells how much of it was cached and says
+// known to hold the prefix, any time between warm and cold shows how much of it was cached and says
 // nothing about the engine's slowdown.
 func (a *attempt) attributableWork(measured time.Duration) time.Duration {
 	if a.cold == 0 {
--- a/internal/decision/placement/engine.go
+++ b/internal/decision/placement/engine.go
@@ -138,8 +138,8 @@
 func (e *engine) cachedTokens(parts []carawayspread.Part, chains []uint64, memory int) int {
 	sum := 0
 	for i, chain := range chains {
-		m, ok := e.parts[chain]
-		if !ok || e.insertedTokens-m.position > int64(float64(memory)*usableCacheShare) {
+		entry, ok := e.parts[chain]
+		if !ok || e.insertedTokens-entry.position > int64(float64(memory)*usableCacheShare) {
 			break
 		}
 		sum += parts[i].Tokens
@@ -237,12 +237,12 @@
 // prune forgets the parts in the older half of the engine's count of inserted tokens.
 func (e *engine) prune() {
 	oldest := e.insertedTokens
-	for _, m := range e.parts {
-		oldest = min(oldest, m.position)
+	for _, entry := range e.parts {
+		oldest = min(oldest, entry.position)
 	}
 	middle := oldest + (e.insertedTokens-oldest)/2
-	for chain, m := range e.parts {
-		if m.position <= middle {
+	for chain, entry := range e.parts {
+		if entry.position <= middle {
 			delete(e.parts, chain)
 		}
 	}
--- a/internal/decision/placement/replay_test.go
+++ b/internal/decision/placement/replay_test.go
@@ -276,8 +276,8 @@
 		shared int
 		gain   float64 // in the share of requests in time
 	}{
-		"nothing shared":    {0, 0.1},
-		"shared beginnings": {short.shared, -0.05},
+		"nothing shared":  {0, 0.1},
+		"shared prefixes": {short.shared, -0.05},
 	} {
 		t.Run(name, func(t *testing.T) {
 			burst := short
