--- a/cmd/gateway/configuration_test.go
+++ b/cmd/gateway/configuration_test.go
@@ -135,7 +135,7 @@
 	t.Helper()
 	begun := time.Now()
 	for p.sink.holds() != want {
-		_ = p.learner.Ask(context.Background(), other.link.Address(), carawayspread.MatterRoutes)
+		_ = p.learner.Ask(context.Background(), other.link.Address(), carawayspread.ResourceRoutes)
 		if p.sink.holds() != want {
 			qt.Assert(t, time.Since(begun) < within, qt.IsTrue, qt.Commentf("not in force after %v, %d bytes", time.Since(begun), other.link.Answered()))
 		}
@@ -191,7 +191,7 @@
 	server := httptest.NewServer(store)
 	t.Cleanup(server.Close)
 	p := newPeer(t, newLink(t, server).Address())
-	qt.Assert(t, p.Read(context.Background(), carawayspread.MatterRoutes), qt.IsNil)
+	qt.Assert(t, p.Read(context.Background(), carawayspread.ResourceRoutes), qt.IsNil)
 	qt.Check(t, p.sink.holds(), qt.Equals, "other")
 }
 
@@ -211,10 +211,10 @@
 	ended := make(chan error, 1)
 	go func() { ended <- f.RunPulls(ctx, to.learner) }()
 	t.Cleanup(func() { stop(); <-ended })
-	says := carawayspread.Presence{Zone: "z", Capacity: 2, Reads: true}
-	for of := range carawayspread.Matters {
+	says := carawayspread.PeerStatus{Zone: "z", Capacity: 2, CanReadStore: true}
+	for of := range carawayspread.ResourceCount {
 		qt.Assert(t, from.Read(t.Context(), of), qt.IsNil)
-		says.Claims[of] = from.Have(of)
+		says.Resources[of] = from.Have(of)
 	}
 	for begun := time.Now(); to.sink.listed() == 0; time.Sleep(50 * time.Millisecond) {
 		f.Heard(1, from.link.Address(), says)
--- a/decisions.go
+++ b/decisions.go
@@ -12,9 +12,9 @@
 	// serialise their calls draw from it.
 	Rand *rand.Rand
 	Zone string // availability zone of the process; empty when it does not matter
-	// Tell passes a notice on to the peers; nil where there are none. It does
+	// Broadcast passes a notice on to the peers; nil where there are none. It does
 	// not block.
-	Tell func(Notice)
+	Broadcast func(LoadUpdate)
 }
 
 // Registries of the decision modules. An implementation registers itself when
@@ -43,12 +43,12 @@
 	Requeue(job *Job)
 	// Expired removes and returns the jobs that can no longer meet their
 	// target or had to make room, each with its refusal.
-	Expired() []Refused
+	Expired() []RefusedJob
 	// Cancel removes a queued job whose caller went away; false when it is
 	// not queued.
 	Cancel(job *Job) bool
 	// Done frees the slot of a job and reports what it took.
-	Done(job *Job, served Served)
+	Done(job *Job, served JobResult)
 	// Capacity reports how many jobs this process may have at the endpoints
 	// at once, as known now.
 	Capacity(slots int)
@@ -56,36 +56,36 @@
 	Len() int
 }
 
-// Served is what a job took in the end. The zero value is a job that did not run.
-type Served struct {
+// JobResult is what a job took in the end. The zero value is a job that did not run.
+type JobResult struct {
 	Cost       Cost          // counted tokens
 	FirstToken time.Duration // from Next to the first byte of the answer
 	Took       time.Duration // from Next to the end of the answer
 }
 
-// Refused is a queued job with its final refusal.
-type Refused struct {
+// RefusedJob is a queued job with its final refusal.
+type RefusedJob struct {
 	Job *Job
 	Err *Error
 }
 
-// Standing is what an entry holds against an endpoint at the moment of a pick.
-type Standing int
+// Availability is what an entry holds against an endpoint at the moment of a pick.
+type Availability int
 
 // Standings of endpoints.
 const (
-	StandingFree Standing = iota
-	StandingBusy          // at its limit, takes work again soon
-	StandingOut           // ejected, tried already or known to be lost
+	AvailabilityFree     Availability = iota
+	AvailabilityBusy                  // at its limit, takes work again soon
+	AvailabilityExcluded              // ejected, tried already or known to be lost
 )
 
 // Choice is where a job goes.
 type Choice struct {
 	Endpoint EndpointID // empty when the job cannot be sent now
-	// Displaced says that none of the endpoints that the fingerprint maps to
+	// OutsideAffinity says that none of the endpoints that the fingerprint maps to
 	// is available. The job may reach an endpoint that knows nothing of its
 	// earlier attempts, so quarantine demands a trial claim.
-	Displaced bool
+	OutsideAffinity bool
 	// Wait says that an endpoint of the job is only busy.
 	Wait bool
 }
@@ -95,10 +95,10 @@
 	// SetEndpoints replaces what is known of the endpoints of a service.
 	SetEndpoints(endpoints []Endpoint)
 	// Reported takes a report, which may be late or out of order.
-	Reported(report Report)
+	Reported(report EndpointReport)
 	// Pick chooses an endpoint for the job. Standing is asked only for the
 	// endpoints that come into question.
-	Pick(job *Job, standing func(EndpointID) Standing) Choice
+	Pick(job *Job, standing func(EndpointID) Availability) Choice
 	// Sent and Ended follow the attempts of this entry.
 	Sent(id EndpointID, job *Job)
 	Ended(id EndpointID, job *Job, outcome Outcome)
@@ -150,9 +150,9 @@
 	Leaving  bool // drains, is down or is not heard of: it is neither counted nor changed
 	Running  int  // requests that a change must move or wait for
 	KVBytes  int64
-	// AnswersOnly says that prompts read beside its answers would make these late
+	// PrefillDelaysDecode says that prompts read beside its answers would make these late
 	// by a pause.
-	AnswersOnly bool
+	PrefillDelaysDecode bool
 	// PrefillRate and DecodeRate are tokens a second as measured with nothing
 	// else on the engine; zero when unknown.
 	PrefillRate float64
@@ -161,10 +161,10 @@
 
 // Demand is the work of one service, measured since the last plan.
 type Demand struct {
-	// Taken is when the demand was measured. A demand that is old, or that was
+	// MeasuredAt is when the demand was measured. A demand that is old, or that was
 	// planned for before, is no ground for a change.
-	Taken   time.Time
-	Classes []ClassDemand // at most one for each class
+	MeasuredAt time.Time
+	Classes    []ClassDemand // at most one for each class
 }
 
 // ClassDemand is the part of a demand that one class brings.
--- a/endpoint.go
+++ b/endpoint.go
@@ -73,18 +73,18 @@
 // Leaving reports whether the endpoint takes no new work.
 func (e Endpoint) Leaving() bool { return e.leaving }
 
-// Report is what a sidecar last said of one endpoint. It is seconds old when
+// EndpointReport is what a sidecar last said of one endpoint. It is seconds old when
 // it arrives and is kept as a hint, never as a proof.
-type Report struct {
-	Endpoint EndpointID
-	Taken    time.Time // by the clock of the receiver, less the age that the sender states
-	Running  int       // requests on the endpoint; not negative
-	Waiting  int       // requests queued before it; not negative
-	Slots    int       // requests that it can batch; at least 1
-	Role     Role
-	Models   []string // resident models; empty when unknown
-	Draining bool
-	Crashed  bool // the endpoint is down
+type EndpointReport struct {
+	Endpoint   EndpointID
+	MeasuredAt time.Time // by the clock of the receiver, less the age that the sender states
+	Running    int       // requests on the endpoint; not negative
+	Waiting    int       // requests queued before it; not negative
+	Slots      int       // requests that it can batch; at least 1
+	Role       Role
+	Models     []string // resident models; empty when unknown
+	Draining   bool
+	Crashed    bool // the endpoint is down
 	// PrefillRate and DecodeRate are measured tokens a second, zero when unknown.
 	PrefillRate float64
 	DecodeRate  float64
--- a/error.go
+++ b/error.go
@@ -52,9 +52,9 @@
 	cause      error
 }
 
-// ErrEnding is the cause with which the context of a request ends that outlasts its
+// ErrShutdown is the cause with which the context of a request ends that outlasts its
 // process.
-var ErrEnding = errors.New("the process ends")
+var ErrShutdown = errors.New("the process ends")
 
 // ErrorOption sets an optional part of an Error.
 type ErrorOption func(*Error)
--- a/internal/connection/direct/client.go
+++ b/internal/connection/direct/client.go
@@ -43,7 +43,7 @@
 	bufferSize  = 4 << 10
 )
 
-// Client is a carawayspread.Exchange over net/http. It is safe for concurrent
+// Client is a carawayspread.EndpointTransport over net/http. It is safe for concurrent
 // use.
 type Client struct {
 	transport *http.Transport
--- a/internal/connection/knowledge/learner.go
+++ b/internal/connection/knowledge/learner.go
@@ -52,7 +52,7 @@
 // Holder keeps what is known.
 type Holder interface {
 	// Have returns what is known of a matter.
-	Have(of carawayspread.Matter) carawayspread.Claim
+	Have(of carawayspread.Resource) carawayspread.ResourceStatus
 	// Known returns what is newer than these versions.
 	Known(routes, list uint64) carawayspread.Knowledge
 	// Learn takes what is newer than what it has, and reports whether it did.
@@ -74,7 +74,7 @@
 	observe func(asked, stamp time.Duration)
 	packer  *packer
 	// asking is held while a peer is asked for the matter.
-	asking [carawayspread.Matters]sync.Mutex
+	asking [carawayspread.ResourceCount]sync.Mutex
 }
 
 // Option sets an optional part of a Learner.
@@ -106,13 +106,13 @@
 // Newer implements the service.
 func (l *Learner) Newer(_ context.Context, req *NewerRequest) (*NewerResponse, error) {
 	routes := req.Routes
-	if have := l.holder.Have(carawayspread.MatterRoutes).Version; !req.Changes && have > routes {
+	if have := l.holder.Have(carawayspread.ResourceRoutes).Version; !req.Changes && have > routes {
 		routes = 0 // the whole
 	}
 	known := l.holder.Known(routes, req.List)
 	return &NewerResponse{
-		Routes:  l.toWire(carawayspread.MatterRoutes, known.Routes, req.Changes),
-		List:    l.toWire(carawayspread.MatterList, known.List, req.Changes),
+		Routes:  l.toWire(carawayspread.ResourceRoutes, known.Routes, req.Changes),
+		List:    l.toWire(carawayspread.ResourceEndpoints, known.Endpoints, req.Changes),
 		StoreMs: uint64(known.StoreTime / time.Millisecond),
 	}, nil
 }
@@ -145,10 +145,10 @@
 // askAll asks a peer for each matter at once, and reports whether it brought something
 // new and nothing that cannot be read.
 func (l *Learner) askAll(ctx context.Context, peer string) bool {
-	var learnt [carawayspread.Matters]bool
-	var errs [carawayspread.Matters]error
+	var learnt [carawayspread.ResourceCount]bool
+	var errs [carawayspread.ResourceCount]error
 	var asking sync.WaitGroup
-	for of := range carawayspread.Matters {
+	for of := range carawayspread.ResourceCount {
 		asking.Go(func() { learnt[of], errs[of] = l.learn(ctx, peer, of) })
 	}
 	asking.Wait()
@@ -156,7 +156,7 @@
 }
 
 // Ask has one peer hand on what is newer of a matter.
-func (l *Learner) Ask(ctx context.Context, peer string, of carawayspread.Matter) error {
+func (l *Learner) Ask(ctx context.Context, peer string, of carawayspread.Resource) error {
 	_, err := l.learn(ctx, peer, of)
 	return err
 }
@@ -201,18 +201,18 @@
 
 // learn takes what the peer knows of a matter, and reports whether it was newer. One
 // peer at a time is asked for a matter: the same would arrive twice.
-func (l *Learner) learn(ctx context.Context, peer string, of carawayspread.Matter) (bool, error) {
+func (l *Learner) learn(ctx context.Context, peer string, of carawayspread.Resource) (bool, error) {
 	if !l.asking[of].TryLock() {
-		return false, carawayspread.ErrBusy
+		return false, carawayspread.ErrTooSoon
 	}
 	defer l.asking[of].Unlock()
 	return l.learnSince(ctx, peer, of, l.holder.Have(of).Version)
 }
 
 // learnSince takes changes since that version, and the whole where they do not fit.
-func (l *Learner) learnSince(ctx context.Context, peer string, of carawayspread.Matter, version uint64) (bool, error) {
+func (l *Learner) learnSince(ctx context.Context, peer string, of carawayspread.Resource, version uint64) (bool, error) {
 	req := &NewerRequest{Routes: math.MaxUint64, List: math.MaxUint64, Changes: true}
-	if of == carawayspread.MatterRoutes {
+	if of == carawayspread.ResourceRoutes {
 		req.Routes = version
 	} else {
 		req.List = version
@@ -222,7 +222,7 @@
 		return false, err
 	}
 	learnt, err := l.take(got.NewerResponse)
-	if errors.Is(err, carawayspread.ErrPartial) && version > 0 {
+	if errors.Is(err, carawayspread.ErrDeltaMismatch) && version > 0 {
 		return l.learnSince(ctx, peer, of, 0)
 	}
 	if err != nil {
@@ -232,7 +232,7 @@
 	if learnt {
 		l.learnt.Inc()
 		d := got.GetRoutes()
-		if of == carawayspread.MatterList {
+		if of == carawayspread.ResourceEndpoints {
 			d = got.GetList()
 		}
 		l.log.WithField("peer", peer).WithField("of", of.String()).WithField("version", d.GetVersion()).
@@ -251,11 +251,11 @@
 	if err != nil {
 		return false, err
 	}
-	return l.holder.Learn(carawayspread.Knowledge{Routes: routes, List: list})
+	return l.holder.Learn(carawayspread.Knowledge{Routes: routes, Endpoints: list})
 }
 
 // toWire returns a document for a peer, packed where the peer takes that and it pays.
-func (l *Learner) toWire(of carawayspread.Matter, d carawayspread.Document, packs bool) *Document {
+func (l *Learner) toWire(of carawayspread.Resource, d carawayspread.Document, packs bool) *Document {
 	if d.Version == 0 {
 		return nil
 	}
--- a/internal/connection/knowledge/learner_test.go
+++ b/internal/connection/knowledge/learner_test.go
@@ -36,22 +36,22 @@
 	if h.known.Routes.Version > routes {
 		newer.Routes = h.known.Routes
 	}
-	if h.known.List.Version > list {
-		newer.List = h.known.List
+	if h.known.Endpoints.Version > list {
+		newer.Endpoints = h.known.Endpoints
 		if h.whole && list > 0 {
-			newer.List.Body = []byte("changes")
+			newer.Endpoints.Body = []byte("changes")
 		}
 	}
 	return newer
 }
 
-func (h *holder) Have(of carawayspread.Matter) carawayspread.Claim {
+func (h *holder) Have(of carawayspread.Resource) carawayspread.ResourceStatus {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if of == carawayspread.MatterList {
-		return carawayspread.Claim{Version: h.known.List.Version}
+	if of == carawayspread.ResourceEndpoints {
+		return carawayspread.ResourceStatus{Version: h.known.Endpoints.Version}
 	}
-	return carawayspread.Claim{Version: h.known.Routes.Version}
+	return carawayspread.ResourceStatus{Version: h.known.Routes.Version}
 }
 
 func (h *holder) Learn(k carawayspread.Knowledge) (bool, error) {
@@ -60,15 +60,15 @@
 	if string(k.Routes.Body) == "broken" {
 		return false, errors.New("broken")
 	}
-	if h.whole && string(k.List.Body) == "changes" {
-		return false, carawayspread.ErrPartial
+	if h.whole && string(k.Endpoints.Body) == "changes" {
+		return false, carawayspread.ErrDeltaMismatch
 	}
 	learnt := false
 	if k.Routes.Version > h.known.Routes.Version {
 		h.known.Routes, learnt = k.Routes, true
 	}
-	if k.List.Version > h.known.List.Version {
-		h.known.List, learnt = k.List, true
+	if k.Endpoints.Version > h.known.Endpoints.Version {
+		h.known.Endpoints, learnt = k.Endpoints, true
 	}
 	return learnt, nil
 }
@@ -94,7 +94,7 @@
 // Callers of a process without the store are served by what any peer knows: one
 // is gone, one hands on what cannot be read, one knows nothing, one knows.
 func TestOneOfThePeersKnows(t *testing.T) {
-	knows := &holder{known: carawayspread.Knowledge{Routes: document(7, "routes"), List: document(20, "list")}}
+	knows := &holder{known: carawayspread.Knowledge{Routes: document(7, "routes"), Endpoints: document(20, "list")}}
 	broken := &holder{known: carawayspread.Knowledge{Routes: document(9, "broken")}}
 	for _, other := range []string{"127.0.0.1:1", serve(t, broken), serve(t, &holder{})} {
 		for range 12 { // in either order
@@ -111,15 +111,15 @@
 // A process that has missed something between two peers asks for the whole where the
 // changes do not fit.
 func TestWholeListWhereChangesDoNotFit(t *testing.T) {
-	knows := &holder{known: carawayspread.Knowledge{List: document(20, "list")}, whole: true}
-	h := &holder{known: carawayspread.Knowledge{List: document(5, "old")}, whole: true}
-	qt.Assert(t, learner(h).Ask(context.Background(), serve(t, knows), carawayspread.MatterList), qt.IsNil)
-	qt.Check(t, string(h.known.List.Body), qt.Equals, "list")
+	knows := &holder{known: carawayspread.Knowledge{Endpoints: document(20, "list")}, whole: true}
+	h := &holder{known: carawayspread.Knowledge{Endpoints: document(5, "old")}, whole: true}
+	qt.Assert(t, learner(h).Ask(context.Background(), serve(t, knows), carawayspread.ResourceEndpoints), qt.IsNil)
+	qt.Check(t, string(h.known.Endpoints.Body), qt.Equals, "list")
 }
 
 // Only what is newer travels.
 func TestNewerAlone(t *testing.T) {
-	knows := &holder{known: carawayspread.Knowledge{Routes: document(7, "routes"), List: document(20, "list")}}
+	knows := &holder{known: carawayspread.Knowledge{Routes: document(7, "routes"), Endpoints: document(20, "list")}}
 	got, err := learner(knows).Newer(context.Background(), &NewerRequest{Routes: 7, List: 19})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, got.Routes, qt.IsNil)
@@ -146,8 +146,8 @@
 	if o.known.Routes.Version > req.Routes {
 		got.Routes = &Document{Version: o.known.Routes.Version, Body: o.known.Routes.Body}
 	}
-	if o.known.List.Version > req.List {
-		got.List = &Document{Version: o.known.List.Version, Body: o.known.List.Body}
+	if o.known.Endpoints.Version > req.List {
+		got.List = &Document{Version: o.known.Endpoints.Version, Body: o.known.Endpoints.Body}
 	}
 	return got, nil
 }
@@ -155,12 +155,12 @@
 // Guards against a rolling release in which processes of two versions learn nothing from
 // one another.
 func TestOlderProcessesUnderstandOneAnother(t *testing.T) {
-	known := carawayspread.Knowledge{Routes: document(7, strings.Repeat("routes", 1000)), List: document(20, strings.Repeat("list", 1000))}
+	known := carawayspread.Knowledge{Routes: document(7, strings.Repeat("routes", 1000)), Endpoints: document(20, strings.Repeat("list", 1000))}
 	server := httptest.NewServer(NewKnowledgeServer(older{known}))
 	t.Cleanup(server.Close)
 	h := &holder{}
 	l := learner(h)
-	for of := range carawayspread.Matters {
+	for of := range carawayspread.ResourceCount {
 		qt.Assert(t, l.Ask(context.Background(), strings.TrimPrefix(server.URL, "http://"), of), qt.IsNil)
 	}
 	qt.Check(t, h.known, qt.DeepEquals, known)
@@ -170,7 +170,7 @@
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, string(got.Routes.Body), qt.Equals, string(known.Routes.Body))
 	qt.Check(t, got.Routes.Since, qt.Equals, uint64(0))
-	qt.Check(t, string(got.List.Body), qt.Equals, string(known.List.Body))
+	qt.Check(t, string(got.List.Body), qt.Equals, string(known.Endpoints.Body))
 	qt.Check(t, got.Routes.Packed || got.List.Packed, qt.IsFalse)
 }
 
@@ -184,7 +184,7 @@
 func TestAnswersThatCannotBeTaken(t *testing.T) {
 	p := newPacker()
 	packed := func(body []byte) []byte {
-		b, err := p.pack(carawayspread.MatterRoutes, carawayspread.Document{Body: body})
+		b, err := p.pack(carawayspread.ResourceRoutes, carawayspread.Document{Body: body})
 		qt.Assert(t, err, qt.IsNil)
 		return b
 	}
@@ -200,10 +200,10 @@
 			t.Cleanup(server.Close)
 			h := &holder{known: carawayspread.Knowledge{Routes: document(7, "routes")}}
 			l := learner(h)
-			qt.Check(t, l.Ask(context.Background(), strings.TrimPrefix(server.URL, "http://"), carawayspread.MatterRoutes), qt.IsNotNil)
+			qt.Check(t, l.Ask(context.Background(), strings.TrimPrefix(server.URL, "http://"), carawayspread.ResourceRoutes), qt.IsNotNil)
 			qt.Check(t, string(h.known.Routes.Body), qt.Equals, "routes")
 			knows := &holder{known: carawayspread.Knowledge{Routes: document(9, "newer")}}
-			qt.Check(t, l.Ask(context.Background(), serve(t, knows), carawayspread.MatterRoutes), qt.IsNil)
+			qt.Check(t, l.Ask(context.Background(), serve(t, knows), carawayspread.ResourceRoutes), qt.IsNil)
 			qt.Check(t, string(h.known.Routes.Body), qt.Equals, "newer")
 		})
 	}
@@ -213,18 +213,18 @@
 func TestPackedOnce(t *testing.T) {
 	p := newPacker()
 	body := bytes.Repeat([]byte("routes"), 1000)
-	first, err := p.pack(carawayspread.MatterRoutes, carawayspread.Document{Version: 1, Body: body})
+	first, err := p.pack(carawayspread.ResourceRoutes, carawayspread.Document{Version: 1, Body: body})
 	qt.Assert(t, err, qt.IsNil)
-	again, err := p.pack(carawayspread.MatterRoutes, carawayspread.Document{Version: 1, Body: bytes.Clone(body)})
+	again, err := p.pack(carawayspread.ResourceRoutes, carawayspread.Document{Version: 1, Body: bytes.Clone(body)})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, &first[0], qt.Equals, &again[0])
-	other, err := p.pack(carawayspread.MatterRoutes, carawayspread.Document{Version: 1, Body: []byte("other")})
+	other, err := p.pack(carawayspread.ResourceRoutes, carawayspread.Document{Version: 1, Body: []byte("other")})
 	qt.Assert(t, err, qt.IsNil)
 	unpacked, err := transfer.Unpack(other, unpackedLimit)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, string(unpacked), qt.Equals, "other")
 	for version := range uint64(100) {
-		_, err := p.pack(carawayspread.MatterList, carawayspread.Document{Version: version, Body: body})
+		_, err := p.pack(carawayspread.ResourceEndpoints, carawayspread.Document{Version: version, Body: body})
 		qt.Assert(t, err, qt.IsNil)
 	}
 	qt.Check(t, p.kept, qt.HasLen, packedKept)
--- a/internal/connection/knowledge/packing.go
+++ b/internal/connection/knowledge/packing.go
@@ -21,7 +21,7 @@
 
 // name tells bodies apart.
 type name struct {
-	of             carawayspread.Matter
+	of             carawayspread.Resource
 	version, since uint64
 	sum            uint64 // of the body: a list may be read twice at one version
 }
@@ -37,7 +37,7 @@
 func newPacker() *packer { return &packer{seed: maphash.MakeSeed(), kept: map[name][]byte{}} }
 
 // pack returns the body packed. Others who want the same wait.
-func (p *packer) pack(of carawayspread.Matter, d carawayspread.Document) ([]byte, error) {
+func (p *packer) pack(of carawayspread.Resource, d carawayspread.Document) ([]byte, error) {
 	n := name{of: of, version: d.Version, since: d.Since, sum: maphash.Bytes(p.seed, d.Body)}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/connection/peers/doubt_test.go
+++ b/internal/connection/peers/doubt_test.go
@@ -50,7 +50,7 @@
 		qt.Assert(t, err, qt.IsNil)
 		t.Cleanup(s.Close)
 		d := &doubter{socket: s}
-		s.Present(func() carawayspread.Presence { return carawayspread.Presence{Zone: "z"} })
+		s.Present(func() carawayspread.PeerStatus { return carawayspread.PeerStatus{Zone: "z"} })
 		s.Doubt(d)
 		doubters, seeds = append(doubters, d), []string{s.Address()}
 	}
--- a/internal/connection/peers/heartbeat.go
+++ b/internal/connection/peers/heartbeat.go
@@ -22,7 +22,7 @@
 	defer s.mu.Unlock()
 	n := s.fleetLocked()
 	for _, p := range s.peers {
-		n = max(n, p.presence.Fleet)
+		n = max(n, p.presence.FleetSize)
 	}
 	return n
 }
@@ -55,14 +55,14 @@
 
 // Present sets what returns how this process stands, which each heartbeat states.
 // It is called before Run.
-func (s *Socket) Present(presence func() carawayspread.Presence) { s.presence = presence }
+func (s *Socket) Present(presence func() carawayspread.PeerStatus) { s.presence = presence }
 
 // Announce tells the peers of the own zone and the largest of each other zone how this
 // process stands.
 func (s *Socket) Announce() {
 	presence := s.presence()
 	s.mu.Lock()
-	presence.Fleet = s.fleetLocked()
+	presence.FleetSize = s.fleetLocked()
 	to := append(s.zoneLocked(presence.Zone), s.largestLocked(presence.Zone)...)
 	s.mu.Unlock()
 	s.send(message{sender: s.id, address: s.self, presence: &presence}, to)
@@ -73,7 +73,7 @@
 func (s *Socket) beat() {
 	presence := s.presence()
 	s.mu.Lock()
-	presence.Fleet = s.fleetLocked()
+	presence.FleetSize = s.fleetLocked()
 	m := message{sender: s.id, address: s.self, presence: &presence}
 	for endpoint, n := range s.counts {
 		m.notices = append(m.notices, n)
--- a/internal/connection/peers/message.go
+++ b/internal/connection/peers/message.go
@@ -38,13 +38,13 @@
 type message struct {
 	sender  uint64 // drawn at the start of the process
 	address netip.AddrPort
-	notices []carawayspread.Notice
+	notices []carawayspread.LoadUpdate
 	crashes []Crash
 	// feedback is the newest of some endpoints.
 	feedback []Feedback
 	known    []netip.AddrPort // other peers that the sender hears
 	// presence is how the sender stands; nil in messages of placements alone.
-	presence *carawayspread.Presence
+	presence *carawayspread.PeerStatus
 	usage    []carawayspread.UsageStatement // of the sender
 	acks     []int64                        // closed windows of which the sender has all that the receiver counted
 	// forward asks a process of another zone to pass the message on in its own.
@@ -59,15 +59,15 @@
 	b = appendAddress(b, m.address)
 	b = binary.AppendUvarint(b, uint64(len(m.notices)))
 	for _, n := range m.notices {
-		b = binary.BigEndian.AppendUint32(b, n.Endpoint)
+		b = binary.BigEndian.AppendUint32(b, n.EndpointHash)
 		b = binary.AppendUvarint(b, uint64(n.Running))
 		b = binary.AppendUvarint(b, uint64(n.Tokens))
-		b = binary.AppendUvarint(b, uint64(n.Work/time.Microsecond))
-		b = binary.AppendUvarint(b, uint64(n.Read))
-		b = binary.AppendUvarint(b, uint64(n.Aside/time.Millisecond))
-		b = binary.AppendVarint(b, int64(n.Late/time.Microsecond))
-		b = binary.AppendUvarint(b, uint64(len(n.Chains)))
-		for _, chain := range n.Chains {
+		b = binary.AppendUvarint(b, uint64(n.PrefillTime/time.Microsecond))
+		b = binary.AppendUvarint(b, uint64(n.PrefillTokens))
+		b = binary.AppendUvarint(b, uint64(n.SuspendedFor/time.Millisecond))
+		b = binary.AppendVarint(b, int64(n.PrefillDelay/time.Microsecond))
+		b = binary.AppendUvarint(b, uint64(len(n.PrefixHashes)))
+		for _, chain := range n.PrefixHashes {
 			b = binary.BigEndian.AppendUint64(b, chain)
 		}
 	}
@@ -116,19 +116,19 @@
 	return b
 }
 
-func appendPresence(b []byte, s *carawayspread.Presence) []byte {
+func appendPresence(b []byte, s *carawayspread.PeerStatus) []byte {
 	b = appendText(b, s.Zone)
 	b = binary.AppendUvarint(b, uint64(s.Capacity))
-	b = append(b, flag(s.Reads))
-	b = binary.AppendUvarint(b, uint64(s.Fleet))
-	for _, c := range s.Claims {
+	b = append(b, flag(s.CanReadStore))
+	b = binary.AppendUvarint(b, uint64(s.FleetSize))
+	for _, c := range s.Resources {
 		b = binary.AppendUvarint(b, c.Version)
 		b = binary.BigEndian.AppendUint64(b, c.Digest)
 		b = binary.AppendUvarint(b, uint64(c.Age/time.Millisecond))
-		b = binary.AppendUvarint(b, uint64(c.Stamp/time.Millisecond))
+		b = binary.AppendUvarint(b, uint64(c.StoreTime/time.Millisecond))
 	}
-	b = binary.AppendUvarint(b, uint64(max(0, s.Epoch/time.Millisecond)))
-	return append(b, flag(s.Holds))
+	b = binary.AppendUvarint(b, uint64(max(0, s.StoreEpoch/time.Millisecond)))
+	return append(b, flag(s.MayHoldUsageLease))
 }
 
 func flag(set bool) byte {
@@ -201,16 +201,16 @@
 
 func (r *reader) flag() bool { return r.bytes(1)[0] == 1 }
 
-func (r *reader) presence() *carawayspread.Presence {
-	s := &carawayspread.Presence{Zone: r.text(), Capacity: uint32(r.count(1<<32 - 1)), Reads: r.flag(), Fleet: r.count(mostFleet)}
-	for of := range s.Claims {
-		s.Claims[of] = carawayspread.Claim{
+func (r *reader) presence() *carawayspread.PeerStatus {
+	s := &carawayspread.PeerStatus{Zone: r.text(), Capacity: uint32(r.count(1<<32 - 1)), CanReadStore: r.flag(), FleetSize: r.count(mostFleet)}
+	for of := range s.Resources {
+		s.Resources[of] = carawayspread.ResourceStatus{
 			Version: r.number(), Digest: binary.BigEndian.Uint64(r.bytes(8)),
-			Age: time.Duration(r.count(1<<32)) * time.Millisecond, Stamp: time.Duration(r.count(mostStamp)) * time.Millisecond,
+			Age: time.Duration(r.count(1<<32)) * time.Millisecond, StoreTime: time.Duration(r.count(mostStamp)) * time.Millisecond,
 		}
 	}
-	s.Epoch = time.Duration(r.count(mostStamp)) * time.Millisecond
-	s.Holds = r.flag()
+	s.StoreEpoch = time.Duration(r.count(mostStamp)) * time.Millisecond
+	s.MayHoldUsageLease = r.flag()
 	return s
 }
 
@@ -247,15 +247,15 @@
 	m.sender = r.number()
 	m.address = r.address()
 	for range r.count(mostItems) {
-		n := carawayspread.Notice{
-			Endpoint: binary.BigEndian.Uint32(r.bytes(4)),
-			Running:  r.count(1 << 20), Tokens: r.count(1 << 40),
-			Work: time.Duration(r.count(1<<32)) * time.Microsecond,
-			Read: r.count(1 << 32), Aside: time.Duration(r.count(1<<20)) * time.Millisecond,
-			Late: time.Duration(r.signed()) * time.Microsecond,
+		n := carawayspread.LoadUpdate{
+			EndpointHash: binary.BigEndian.Uint32(r.bytes(4)),
+			Running:      r.count(1 << 20), Tokens: r.count(1 << 40),
+			PrefillTime:   time.Duration(r.count(1<<32)) * time.Microsecond,
+			PrefillTokens: r.count(1 << 32), SuspendedFor: time.Duration(r.count(1<<20)) * time.Millisecond,
+			PrefillDelay: time.Duration(r.signed()) * time.Microsecond,
 		}
 		for range r.count(mostChains) {
-			n.Chains = append(n.Chains, binary.BigEndian.Uint64(r.bytes(8)))
+			n.PrefixHashes = append(n.PrefixHashes, binary.BigEndian.Uint64(r.bytes(8)))
 		}
 		if r.bad {
 			return message{}, errMalformed
--- a/internal/connection/peers/peers_test.go
+++ b/internal/connection/peers/peers_test.go
@@ -18,7 +18,7 @@
 func someMessage() message {
 	return message{
 		sender: 7, address: netip.MustParseAddrPort("10.0.0.1:99"),
-		notices: []carawayspread.Notice{{Endpoint: 1, Running: 2, Tokens: 3, Work: 4 * time.Millisecond, Read: 5, Chains: []uint64{6, 7}, Aside: 12 * time.Second, Late: -3 * time.Millisecond}, {Endpoint: 8}},
+		notices: []carawayspread.LoadUpdate{{EndpointHash: 1, Running: 2, Tokens: 3, PrefillTime: 4 * time.Millisecond, PrefillTokens: 5, PrefixHashes: []uint64{6, 7}, SuspendedFor: 12 * time.Second, PrefillDelay: -3 * time.Millisecond}, {EndpointHash: 8}},
 		crashes: []Crash{{Fingerprint: 9, Endpoint: "w"}, {Fingerprint: 8, Endpoint: "v", Withdrawn: true}},
 		feedback: []Feedback{
 			{Endpoint: "i-1", Says: carawayspread.Feedback{Limited: true, Rate: 2.25}},
@@ -26,9 +26,9 @@
 			{Endpoint: "i-3", Says: carawayspread.Feedback{Draining: true}},
 		},
 		known: []netip.AddrPort{netip.MustParseAddrPort("10.0.0.2:99")},
-		presence: &carawayspread.Presence{Zone: "z", Capacity: 1 << 31, Reads: true, Fleet: 68, Claims: [carawayspread.Matters]carawayspread.Claim{
-			{Version: 3, Digest: 3, Age: 4 * time.Second, Stamp: time.Hour}, {Version: 1 << 40, Digest: 1 << 63, Age: time.Millisecond},
-		}, Epoch: 400000 * time.Hour, Holds: true},
+		presence: &carawayspread.PeerStatus{Zone: "z", Capacity: 1 << 31, CanReadStore: true, FleetSize: 68, Resources: [carawayspread.ResourceCount]carawayspread.ResourceStatus{
+			{Version: 3, Digest: 3, Age: 4 * time.Second, StoreTime: time.Hour}, {Version: 1 << 40, Digest: 1 << 63, Age: time.Millisecond},
+		}, StoreEpoch: 400000 * time.Hour, MayHoldUsageLease: true},
 		usage: []carawayspread.UsageStatement{
 			{Process: 7, Window: 353445120, Closed: true, Total: 412, Counts: []carawayspread.UsageCount{{Workspace: 1<<40 - 1, Requests: 400}, {Workspace: 3, Requests: 12}}},
 			{Process: 7, Window: 353445121},
@@ -70,29 +70,29 @@
 
 type receiver struct {
 	mu    sync.Mutex
-	heard map[string][]carawayspread.Notice
+	heard map[string][]carawayspread.LoadUpdate
 	// present is how peers stand, by address.
-	present map[string]carawayspread.Presence
+	present map[string]carawayspread.PeerStatus
 	// statements and acks are what peers counted and acknowledged.
 	statements []carawayspread.UsageStatement
 	feedback   []Feedback
 	acks       []int64
 }
 
-func (r *receiver) Heard(from string, notices []carawayspread.Notice) {
+func (r *receiver) Heard(from string, notices []carawayspread.LoadUpdate) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.heard == nil {
-		r.heard = map[string][]carawayspread.Notice{}
+		r.heard = map[string][]carawayspread.LoadUpdate{}
 	}
 	r.heard[from] = append(r.heard[from], notices...)
 }
 
-func (r *receiver) Presents(_ uint64, address string, p carawayspread.Presence) {
+func (r *receiver) Presents(_ uint64, address string, p carawayspread.PeerStatus) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.present == nil {
-		r.present = map[string]carawayspread.Presence{}
+		r.present = map[string]carawayspread.PeerStatus{}
 	}
 	r.present[address] = p
 }
@@ -123,7 +123,7 @@
 	defer r.mu.Unlock()
 	for _, notices := range r.heard {
 		for _, n := range notices {
-			if n.Endpoint == endpoint && n.Running == running {
+			if n.EndpointHash == endpoint && n.Running == running {
 				return true
 			}
 		}
@@ -132,14 +132,14 @@
 }
 
 func start(t *testing.T, seeds ...string) (*Socket, *receiver) {
-	return startAs(t, carawayspread.Presence{}, seeds...)
+	return startAs(t, carawayspread.PeerStatus{}, seeds...)
 }
 
-func startAs(t *testing.T, presence carawayspread.Presence, seeds ...string) (*Socket, *receiver) {
+func startAs(t *testing.T, presence carawayspread.PeerStatus, seeds ...string) (*Socket, *receiver) {
 	t.Helper()
 	s, err := Listen("127.0.0.1:0", seeds, carawayspread.SystemClock())
 	qt.Assert(t, err, qt.IsNil)
-	s.Present(func() carawayspread.Presence { return presence })
+	s.Present(func() carawayspread.PeerStatus { return presence })
 	r := &receiver{}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -165,13 +165,13 @@
 func TestPeersFindEachOther(t *testing.T) {
 	first, atFirst := start(t)
 	second, _ := start(t, first.Address())
-	first.Tell(carawayspread.Notice{Endpoint: 5, Running: 3})
+	first.Tell(carawayspread.LoadUpdate{EndpointHash: 5, Running: 3})
 	third, atThird := start(t, first.Address())
 	for _, s := range []*Socket{first, second, third} {
 		until(t, func() bool { return s.Share() == 3 })
 	}
 	until(t, func() bool { return atThird.knows(5, 3) })
-	second.Tell(carawayspread.Notice{Endpoint: 6, Running: 1})
+	second.Tell(carawayspread.LoadUpdate{EndpointHash: 6, Running: 1})
 	until(t, func() bool { return atFirst.knows(6, 1) && atThird.knows(6, 1) })
 }
 
@@ -179,7 +179,7 @@
 // with its heartbeat.
 func TestPresenceIsHeard(t *testing.T) {
 	first, atFirst := start(t)
-	presence := carawayspread.Presence{Capacity: 7, Reads: true}
+	presence := carawayspread.PeerStatus{Capacity: 7, CanReadStore: true}
 	second, _ := startAs(t, presence, first.Address())
 	until(t, func() bool { return first.Share() == 2 && second.Share() == 2 })
 	second.Announce()
@@ -187,8 +187,8 @@
 		atFirst.mu.Lock()
 		defer atFirst.mu.Unlock()
 		got := atFirst.present[second.Address()]
-		fleet := got.Fleet
-		got.Fleet = 0
+		fleet := got.FleetSize
+		got.FleetSize = 0
 		return got == presence && fleet == 2
 	})
 }
@@ -201,7 +201,7 @@
 	var heard []*receiver
 	var seeds []string
 	for n := range 8 {
-		s, r := startAs(t, carawayspread.Presence{Zone: fmt.Sprint("z", n/4), Capacity: uint32(n)}, seeds...)
+		s, r := startAs(t, carawayspread.PeerStatus{Zone: fmt.Sprint("z", n/4), Capacity: uint32(n)}, seeds...)
 		sockets, heard = append(sockets, s), append(heard, r)
 		seeds = []string{sockets[0].Address()}
 	}
@@ -223,13 +223,13 @@
 	qt.Check(t, forward, qt.HasLen, 1)
 
 	// Heartbeats repeat what runs, not what a placement brings.
-	sockets[0].Tell(carawayspread.Notice{Endpoint: 9, Running: 4, Work: time.Second})
+	sockets[0].Tell(carawayspread.LoadUpdate{EndpointHash: 9, Running: 4, PrefillTime: time.Second})
 	for _, r := range heard[1:] {
 		until(t, func() bool {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			for _, notices := range r.heard {
-				if slices.ContainsFunc(notices, func(n carawayspread.Notice) bool { return n.Endpoint == 9 && n.Work == time.Second }) {
+				if slices.ContainsFunc(notices, func(n carawayspread.LoadUpdate) bool { return n.EndpointHash == 9 && n.PrefillTime == time.Second }) {
 					return true
 				}
 			}
@@ -265,7 +265,7 @@
 	until(t, func() bool { return second.Share() == 2 })
 	const many = 500
 	for n := range many {
-		second.Tell(carawayspread.Notice{Endpoint: uint32(n), Running: 1, Chains: []uint64{1, 2, 3}})
+		second.Tell(carawayspread.LoadUpdate{EndpointHash: uint32(n), Running: 1, PrefixHashes: []uint64{1, 2, 3}})
 	}
 	until(t, func() bool { return atFirst.knows(0, 1) && atFirst.knows(many-1, 1) })
 }
@@ -280,7 +280,7 @@
 	for i := range 60 {
 		s.note(message{
 			sender: uint64(i + 1), address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80),
-			presence: &carawayspread.Presence{Zone: []string{"a", "b", "c"}[i%3]},
+			presence: &carawayspread.PeerStatus{Zone: []string{"a", "b", "c"}[i%3]},
 		})
 	}
 	crossed := map[netip.AddrPort]bool{}
--- a/internal/connection/peers/socket.go
+++ b/internal/connection/peers/socket.go
@@ -37,9 +37,9 @@
 // Receiver takes what peers tell.
 type Receiver interface {
 	// Heard takes the placements of a peer.
-	Heard(from string, notices []carawayspread.Notice)
+	Heard(from string, notices []carawayspread.LoadUpdate)
 	// Presents takes how the peer at that address stands.
-	Presents(id uint64, address string, s carawayspread.Presence)
+	Presents(id uint64, address string, s carawayspread.PeerStatus)
 	// Crashed takes a request that broke an endpoint.
 	Crashed(Crash)
 	// FeedbackHeard takes what an answer to a peer says of its endpoint.
@@ -55,7 +55,7 @@
 	address netip.AddrPort
 	heard   time.Time
 	// presence is what it said of itself last; zero until then.
-	presence carawayspread.Presence
+	presence carawayspread.PeerStatus
 }
 
 // Socket is the process's end towards all peers. It is safe for concurrent use.
@@ -70,20 +70,20 @@
 	// passes wakes what passes messages on.
 	passes chan struct{}
 	// presence returns how this process stands.
-	presence func() carawayspread.Presence
+	presence func() carawayspread.PeerStatus
 	doubter  Doubter // nil where nothing is refused
 
 	mu      sync.Mutex
-	pending []carawayspread.Notice
+	pending []carawayspread.LoadUpdate
 	crashes []Crash
 	// feedback is what was not sent yet.
 	feedback map[carawayspread.EndpointID]carawayspread.Feedback
-	counts   map[uint32]carawayspread.Notice // newest counts told of each endpoint
-	peers    map[uint64]*peer                // by what they drew at their start
-	turn     int                             // of the processes of a zone that pass placements on
-	beats    int                             // heartbeats that were sent
-	passing  [][]byte                        // messages of other zones that are not passed on yet
-	rumours  map[netip.AddrPort]time.Time    // addresses that peers name and that were not heard yet
+	counts   map[uint32]carawayspread.LoadUpdate // newest counts told of each endpoint
+	peers    map[uint64]*peer                    // by what they drew at their start
+	turn     int                                 // of the processes of a zone that pass placements on
+	beats    int                                 // heartbeats that were sent
+	passing  [][]byte                            // messages of other zones that are not passed on yet
+	rumours  map[netip.AddrPort]time.Time        // addresses that peers name and that were not heard yet
 }
 
 // Listen opens the address. The seeds are addresses of processes that may be
@@ -102,9 +102,9 @@
 	}
 	s := &Socket{
 		conn: conn, tcp: tcp, clock: clock, self: self, id: rand.Uint64(), wake: make(chan struct{}, 1), passes: make(chan struct{}, 1),
-		presence: func() carawayspread.Presence { return carawayspread.Presence{} },
+		presence: func() carawayspread.PeerStatus { return carawayspread.PeerStatus{} },
 		feedback: map[carawayspread.EndpointID]carawayspread.Feedback{},
-		counts:   map[uint32]carawayspread.Notice{}, peers: map[uint64]*peer{}, rumours: map[netip.AddrPort]time.Time{},
+		counts:   map[uint32]carawayspread.LoadUpdate{}, peers: map[uint64]*peer{}, rumours: map[netip.AddrPort]time.Time{},
 	}
 	for _, seed := range seeds {
 		if parsed, err := netip.ParseAddrPort(seed); err == nil && parsed != self {
@@ -155,9 +155,9 @@
 func (s *Socket) Address() string { return s.self.String() }
 
 // Tell queues a notice for all peers. It does not block.
-func (s *Socket) Tell(n carawayspread.Notice) {
+func (s *Socket) Tell(n carawayspread.LoadUpdate) {
 	s.mu.Lock()
-	s.counts[n.Endpoint] = carawayspread.Notice{Endpoint: n.Endpoint, Running: n.Running, Tokens: n.Tokens}
+	s.counts[n.EndpointHash] = carawayspread.LoadUpdate{EndpointHash: n.EndpointHash, Running: n.Running, Tokens: n.Tokens}
 	if len(s.pending) < waiting && len(s.peers) > 0 {
 		s.pending = append(s.pending, n)
 	}
@@ -242,7 +242,7 @@
 // urgent reports whether the message tells what no heartbeat repeats and what keeps
 // requests from being lost.
 func (m message) urgent() bool {
-	return len(m.crashes) > 0 || slices.ContainsFunc(m.notices, func(n carawayspread.Notice) bool { return n.Aside > 0 })
+	return len(m.crashes) > 0 || slices.ContainsFunc(m.notices, func(n carawayspread.LoadUpdate) bool { return n.SuspendedFor > 0 })
 }
 
 func (s *Socket) heardLocked() []netip.AddrPort {
--- a/internal/connection/peers/usage.go
+++ b/internal/connection/peers/usage.go
@@ -30,8 +30,8 @@
 		}
 	}
 	slices.SortFunc(order, func(a, b *peer) int {
-		if a.presence.Reads != b.presence.Reads {
-			if a.presence.Reads {
+		if a.presence.CanReadStore != b.presence.CanReadStore {
+			if a.presence.CanReadStore {
 				return -1
 			}
 			return 1
@@ -42,7 +42,7 @@
 		switch {
 		case p == me:
 			self = i < collecting
-		case i < collecting || p.presence.Holds:
+		case i < collecting || p.presence.MayHoldUsageLease:
 			others = append(others, carawayspread.Peer{ID: ids[p], Address: p.address.String()})
 		}
 	}
--- a/internal/controller/rolekeeper/keeper.go
+++ b/internal/controller/rolekeeper/keeper.go
@@ -144,7 +144,7 @@
 		}
 		return
 	}
-	k.source.Aside(change.Endpoint, awayFor)
+	k.source.Suspend(change.Endpoint, awayFor)
 	if err != nil {
 		k.log.Write(line.Text("outcome", "unknown").Text("error", err.Error()))
 		return
--- a/internal/controller/rolekeeper/keeper_test.go
+++ b/internal/controller/rolekeeper/keeper_test.go
@@ -56,7 +56,7 @@
 	return changes
 }
 
-func (f *fleet) Aside(id carawayspread.EndpointID, _ time.Duration) { f.aside = append(f.aside, id) }
+func (f *fleet) Suspend(id carawayspread.EndpointID, _ time.Duration) { f.aside = append(f.aside, id) }
 
 func (f *fleet) Order(_ context.Context, order carawayspread.Order) (carawayspread.EngineState, error) {
 	f.orders = append(f.orders, order)
--- a/internal/controller/usagepublisher/publisher.go
+++ b/internal/controller/usagepublisher/publisher.go
@@ -42,7 +42,7 @@
 type Publisher struct {
 	ledger *usage.Ledger
 	fleet  Fleet
-	terms  carawayspread.UsageTerms
+	terms  carawayspread.UsageWindows
 	now    func() (time.Duration, bool) // true time since the start of 1970
 	clock  carawayspread.Clock
 	acks   chan ack
@@ -60,7 +60,7 @@
 }
 
 // New returns a publisher of the ledger.
-func New(ledger *usage.Ledger, fleet Fleet, terms carawayspread.UsageTerms, now func() (time.Duration, bool), clock carawayspread.Clock) *Publisher {
+func New(ledger *usage.Ledger, fleet Fleet, terms carawayspread.UsageWindows, now func() (time.Duration, bool), clock carawayspread.Clock) *Publisher {
 	return &Publisher{
 		ledger: ledger, fleet: fleet, terms: terms, now: now, clock: clock,
 		acks: make(chan ack, 64), acked: map[uint64]map[int64]bool{},
@@ -174,13 +174,13 @@
 // close closes the windows that have ended by then, and forgets those whose reports no
 // longer count.
 func (p *Publisher) close(now time.Duration, current int64) {
-	for window := max(p.first, current-p.terms.Kept()); p.terms.End(window)+settle <= now; window++ {
+	for window := max(p.first, current-p.terms.RetainedWindows()); p.terms.End(window)+settle <= now; window++ {
 		if !slices.Contains(p.closed, window) {
 			p.ledger.Close(window)
 			p.closed = append(p.closed, window)
 		}
 	}
-	old := current - p.terms.Kept()
+	old := current - p.terms.RetainedWindows()
 	p.closed = slices.DeleteFunc(p.closed, func(window int64) bool { return window < old })
 	for collector, of := range p.acked {
 		for window := range of {
--- a/internal/controller/usagereporter/reporter.go
+++ b/internal/controller/usagereporter/reporter.go
@@ -78,7 +78,7 @@
 type Reporter struct {
 	deps     Deps
 	instance string
-	terms    carawayspread.UsageTerms
+	terms    carawayspread.UsageWindows
 	leads    *leadership.Leadership
 	records  *usagerecords.Records
 
@@ -91,7 +91,7 @@
 }
 
 // New returns a reporter for the instance.
-func New(instance string, terms carawayspread.UsageTerms, d Deps) *Reporter {
+func New(instance string, terms carawayspread.UsageWindows, d Deps) *Reporter {
 	collects := func() bool {
 		_, self := d.Fleet.Collectors()
 		return self
@@ -131,7 +131,7 @@
 	}
 	r.expire(now)
 	current := r.terms.Window(now)
-	for window := current - r.terms.Kept(); window < current; window++ {
+	for window := current - r.terms.RetainedWindows(); window < current; window++ {
 		if !r.done[window] && now >= r.terms.End(window) && now <= r.terms.Due(window) && r.leads.Valid(margin) {
 			r.report(ctx, window, now)
 		}
@@ -259,7 +259,7 @@
 		r.deps.Log.Write(r.line(window).Text("outcome", "missed").
 			Text("decided", fmt.Sprint(p.record != nil)).Int("tries", int64(p.tries)))
 	}
-	old := r.terms.Window(now) - r.terms.Kept()
+	old := r.terms.Window(now) - r.terms.RetainedWindows()
 	for window := range r.done {
 		if window < old {
 			delete(r.done, window)
--- a/internal/daemon/base/group.go
+++ b/internal/daemon/base/group.go
@@ -87,7 +87,7 @@
 		return err
 	}
 	b.log.WithError(err).Warn("the grace ends before the last answer")
-	s.Abort(carawayspread.ErrEnding)
+	s.Abort(carawayspread.ErrShutdown)
 	last, cancel := context.WithTimeout(work, answerTime)
 	defer cancel()
 	return wait(last)
--- a/internal/daemon/entryd/daemon.go
+++ b/internal/daemon/entryd/daemon.go
@@ -192,11 +192,11 @@
 }
 
 // reportOf returns the report of the endpoint at that place.
-func reportOf(r *control.LoadReport, i int, id carawayspread.EndpointID, now time.Time) carawayspread.Report {
+func reportOf(r *control.LoadReport, i int, id carawayspread.EndpointID, now time.Time) carawayspread.EndpointReport {
 	state := r.GetEndpoints()[i]
-	seen := carawayspread.Report{
+	seen := carawayspread.EndpointReport{
 		Endpoint:    id,
-		Taken:       now,
+		MeasuredAt:  now,
 		Running:     int(r.GetRunning()[i]),
 		Slots:       max(1, int(state.GetSlots())),
 		Role:        report.DecodeRole(state.GetRole()),
--- a/internal/daemon/gatewayd/daemon.go
+++ b/internal/daemon/gatewayd/daemon.go
@@ -50,7 +50,7 @@
 
 // Ports are what the platform's translation brings.
 type Ports struct {
-	Exchange carawayspread.Exchange
+	Exchange carawayspread.EndpointTransport
 	Protocol carawayspread.Protocol
 	// Source reads what operators and endpoints publish, and hands it to the sink.
 	Source func(sink *Daemon) follower.Source
@@ -112,7 +112,7 @@
 	}
 	d.trueTime = truetime.New(clock, ports.StoreTime.Now)
 	d.placer = newPlacer(carawayspread.Environment{
-		Clock: clock, Zone: s.Zone(), Tell: d.peers.Tell,
+		Clock: clock, Zone: s.Zone(), Broadcast: d.peers.Tell,
 		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 	d.gateway = gateway.New(ports.Exchange, ports.Protocol, d.placer, clock, d.lines,
@@ -121,7 +121,7 @@
 		gateway.WithTerms(s.Budget(), d.peers.Share),
 		gateway.WithFeedback(d.peers.TellFeedback, d.peers.Fleet),
 		gateway.WithListAge(func() time.Duration {
-			age, _ := d.rota.Age(carawayspread.MatterList)
+			age, _ := d.rota.Age(carawayspread.ResourceEndpoints)
 			return age
 		}),
 		gateway.WithCrashed(func(fingerprint uint64, id carawayspread.EndpointID, withdrawn bool) {
@@ -155,7 +155,7 @@
 		age, _ := d.follower.Age()
 		return age.Seconds()
 	})
-	for of := range carawayspread.Matters {
+	for of := range carawayspread.ResourceCount {
 		d.gateway.Metrics().NewGauge(`gateway_confirmed_seconds_ago{of="`+of.String()+`"}`, func() float64 {
 			age, _ := d.rota.Age(of)
 			return age.Seconds()
@@ -170,20 +170,22 @@
 func (e evidence) Refresh(ctx context.Context) error { return e.d.follower.Refresh(ctx) }
 
 // presence returns how this process stands.
-func (d *Daemon) presence() carawayspread.Presence {
+func (d *Daemon) presence() carawayspread.PeerStatus {
 	p := d.follower.Presence()
-	p.Epoch, _ = d.trueTime.Epoch()
-	p.Holds = d.usage != nil && d.usage.reporter.Holds()
+	p.StoreEpoch, _ = d.trueTime.Epoch()
+	p.MayHoldUsageLease = d.usage != nil && d.usage.reporter.Holds()
 	return p
 }
 
 // Heard takes the placements of a peer.
-func (d *Daemon) Heard(from string, notices []carawayspread.Notice) { d.placer.Heard(from, notices) }
+func (d *Daemon) Heard(from string, notices []carawayspread.LoadUpdate) {
+	d.placer.ApplyLoadUpdates(from, notices)
+}
 
 // Presents takes how a peer stands.
-func (d *Daemon) Presents(id uint64, address string, s carawayspread.Presence) {
+func (d *Daemon) Presents(id uint64, address string, s carawayspread.PeerStatus) {
 	d.follower.Heard(id, address, s)
-	d.trueTime.Heard(id, s.Epoch)
+	d.trueTime.Heard(id, s.StoreEpoch)
 }
 
 // Crashed takes a request that broke an endpoint before a peer.
--- a/internal/daemon/gatewayd/leave.go
+++ b/internal/daemon/gatewayd/leave.go
@@ -95,7 +95,7 @@
 	if running := d.gateway.Running(); running > 0 {
 		d.log.WithField("running", running).Warn("the grace ends before the last answer")
 	}
-	d.endServing(carawayspread.ErrEnding)
+	d.endServing(carawayspread.ErrShutdown)
 	for now := d.clock.Now(); now.Before(last) && d.connections.owed() > 0; now = d.clock.Now() {
 		<-d.clock.After(leavePoll)
 	}
--- a/internal/daemon/gatewayd/usage.go
+++ b/internal/daemon/gatewayd/usage.go
@@ -23,7 +23,7 @@
 
 // usageDuty is the process's part in reporting the usage of workspaces.
 type usageDuty struct {
-	terms     carawayspread.UsageTerms
+	terms     carawayspread.UsageWindows
 	ledger    *usage.Ledger
 	publisher *usagepublisher.Publisher
 	reporter  *usagereporter.Reporter
--- a/internal/daemon/server/server.go
+++ b/internal/daemon/server/server.go
@@ -97,7 +97,7 @@
 	if s.shutdown(within) == nil {
 		return
 	}
-	s.Abort(carawayspread.ErrEnding)
+	s.Abort(carawayspread.ErrShutdown)
 	if s.shutdown(within) != nil {
 		_ = s.http.Close()
 	}
--- a/internal/daemon/server/server_test.go
+++ b/internal/daemon/server/server_test.go
@@ -45,7 +45,7 @@
 			case <-time.After(5 * time.Second):
 				t.Fatal("it waits for the request")
 			}
-			qt.Check(t, <-cause, qt.Equals, carawayspread.ErrEnding)
+			qt.Check(t, <-cause, qt.Equals, carawayspread.ErrShutdown)
 			qt.Check(t, <-served, qt.IsNil)
 		})
 	}
--- a/internal/decision/fairqueue/rates.go
+++ b/internal/decision/fairqueue/rates.go
@@ -88,7 +88,7 @@
 	*m = min(max(*m, 1), maxMargin)
 }
 
-func (r *rates) observe(now time.Time, served carawayspread.Served) {
+func (r *rates) observe(now time.Time, served carawayspread.JobResult) {
 	if served.Took <= 0 {
 		return
 	}
--- a/internal/decision/fairqueue/scheduler.go
+++ b/internal/decision/fairqueue/scheduler.go
@@ -55,9 +55,9 @@
 	meanWork float64 // of one job, smoothed; zero before the first
 	items    map[*carawayspread.Job]*item
 	running  map[*carawayspread.Job]*item
-	parked   list.List               // of *item that could not be placed, the oldest first
-	parkedAt time.Time               // when the oldest of parked could not be placed
-	refused  []carawayspread.Refused // evicted jobs, until Expired is asked
+	parked   list.List                  // of *item that could not be placed, the oldest first
+	parkedAt time.Time                  // when the oldest of parked could not be placed
+	refused  []carawayspread.RefusedJob // evicted jobs, until Expired is asked
 }
 
 // Option sets an optional part of a Scheduler.
@@ -171,7 +171,7 @@
 // refuse ends a queued or parked job.
 func (s *Scheduler) refuse(now time.Time, i *item, late time.Duration) {
 	s.forget(i)
-	s.refused = append(s.refused, carawayspread.Refused{Job: i.job, Err: s.refusal(now, i, late)})
+	s.refused = append(s.refused, carawayspread.RefusedJob{Job: i.job, Err: s.refusal(now, i, late)})
 }
 
 // Next returns the job that is to be sent now.
@@ -223,7 +223,7 @@
 }
 
 // Done frees the slot of the job and replaces its estimate by what it took.
-func (s *Scheduler) Done(job *carawayspread.Job, served carawayspread.Served) {
+func (s *Scheduler) Done(job *carawayspread.Job, served carawayspread.JobResult) {
 	now := s.tick()
 	i, ok := s.running[job]
 	if !ok {
@@ -262,7 +262,7 @@
 }
 
 // Expired returns the jobs that got their final refusal since it was asked last.
-func (s *Scheduler) Expired() []carawayspread.Refused {
+func (s *Scheduler) Expired() []carawayspread.RefusedJob {
 	s.expire(s.tick())
 	refused := s.refused
 	s.refused = nil
--- a/internal/decision/fairqueue/scheduler_test.go
+++ b/internal/decision/fairqueue/scheduler_test.go
@@ -71,7 +71,7 @@
 				job := running[0]
 				running = running[1:]
 				if rapid.Bool().Draw(t, "placed") {
-					s.Done(job, carawayspread.Served{Cost: job.Cost, FirstToken: 30 * time.Second, Took: time.Minute})
+					s.Done(job, carawayspread.JobResult{Cost: job.Cost, FirstToken: 30 * time.Second, Took: time.Minute})
 					leave(job)
 				} else {
 					s.Requeue(job)
@@ -122,10 +122,10 @@
 			}
 		}
 		offer("b")
-		s.Done(s.Next(), carawayspread.Served{})
+		s.Done(s.Next(), carawayspread.JobResult{})
 		for range rapid.IntRange(0, 50).Draw(t, "alone") { // b leaves its share unused
 			offer("a")
-			s.Done(s.Next(), carawayspread.Served{Cost: carawayspread.Cost{Prefill: 1, Decode: largest}, Took: 8 * time.Second})
+			s.Done(s.Next(), carawayspread.JobResult{Cost: carawayspread.Cost{Prefill: 1, Decode: largest}, Took: 8 * time.Second})
 		}
 		for range 3 {
 			offer("a")
@@ -140,7 +140,7 @@
 			if ahead := got["a"] - got["b"]; max(ahead, -ahead) > bound {
 				t.Fatalf("one workspace is %.2f s ahead, bound %.2f", ahead, bound)
 			}
-			s.Done(job, carawayspread.Served{Cost: job.Cost, FirstToken: seconds(0.0002), Took: seconds(work)})
+			s.Done(job, carawayspread.JobResult{Cost: job.Cost, FirstToken: seconds(0.0002), Took: seconds(work)})
 		}
 	})
 }
@@ -168,7 +168,7 @@
 				if job == watched {
 					return n
 				}
-				s.Done(job, carawayspread.Served{})
+				s.Done(job, carawayspread.JobResult{})
 			}
 			return -1
 		}
@@ -191,7 +191,7 @@
 		qt.Assert(t, s.Offer(job), qt.IsNil)
 		clock.Advance(time.Millisecond)
 		qt.Assert(t, s.Next(), qt.Equals, job)
-		s.Done(job, carawayspread.Served{Cost: job.Cost, FirstToken: time.Millisecond, Took: time.Minute})
+		s.Done(job, carawayspread.JobResult{Cost: job.Cost, FirstToken: time.Millisecond, Took: time.Minute})
 	}
 	first := newJob(clock, "w", time.Second, 10)
 	qt.Assert(t, s.Offer(first), qt.IsNil)
--- a/internal/decision/fifo/scheduler.go
+++ b/internal/decision/fifo/scheduler.go
@@ -66,7 +66,7 @@
 }
 
 // Expired returns nothing: no job is ever refused.
-func (s *Scheduler) Expired() []carawayspread.Refused { return nil }
+func (s *Scheduler) Expired() []carawayspread.RefusedJob { return nil }
 
 // Cancel removes a queued job.
 func (s *Scheduler) Cancel(job *carawayspread.Job) bool {
@@ -85,7 +85,7 @@
 }
 
 // Done frees the slot of the job.
-func (s *Scheduler) Done(job *carawayspread.Job, _ carawayspread.Served) {
+func (s *Scheduler) Done(job *carawayspread.Job, _ carawayspread.JobResult) {
 	delete(s.running, job)
 	s.unpark()
 }
--- a/internal/decision/hashrouter/endpoint.go
+++ b/internal/decision/hashrouter/endpoint.go
@@ -21,20 +21,20 @@
 
 // heard is a report with what was known when it came. It is immutable.
 type heard struct {
-	report carawayspread.Report
+	report carawayspread.EndpointReport
 	own    int64 // attempts of this entry that ran when the report came
 }
 
 // hear keeps the newer of two reports, since datagrams overtake one another.
 // It reports whether the role or the resident models changed.
-func (e *endpoint) hear(report carawayspread.Report) bool {
+func (e *endpoint) hear(report carawayspread.EndpointReport) bool {
 	if report.Crashed {
-		e.crashed.Store(report.Taken.UnixNano())
+		e.crashed.Store(report.MeasuredAt.UnixNano())
 	}
 	next := &heard{report: report, own: e.own.Load()}
 	for {
 		last := e.last.Load()
-		if last != nil && !report.Taken.After(last.report.Taken) {
+		if last != nil && !report.MeasuredAt.After(last.report.MeasuredAt) {
 			return false
 		}
 		if e.last.CompareAndSwap(last, next) {
@@ -59,7 +59,7 @@
 	report := &last.report
 	slots := float64(max(1, report.Slots))
 	told := float64(report.Running+report.Waiting) + float64(own-last.own)
-	weight := 1 - min(1, float64(now.Sub(report.Taken))/float64(reportLife))
+	weight := 1 - min(1, float64(now.Sub(report.MeasuredAt))/float64(reportLife))
 	return max(0, weight*told+(1-weight)*float64(own)) / slots
 }
 
@@ -67,7 +67,7 @@
 // Refusals carry the load, so that an entry does not ask again at once.
 func (e *endpoint) full(now time.Time) bool {
 	last := e.last.Load()
-	return last != nil && now.Sub(last.report.Taken) < fullLife && e.load(now) >= fullLoad
+	return last != nil && now.Sub(last.report.MeasuredAt) < fullLife && e.load(now) >= fullLoad
 }
 
 // down reports whether the endpoint said that it takes no work. A report of a
@@ -81,7 +81,7 @@
 	if last.report.Draining {
 		return true
 	}
-	return last.report.Crashed && now.Sub(last.report.Taken) < crashLife
+	return last.report.Crashed && now.Sub(last.report.MeasuredAt) < crashLife
 }
 
 // role returns the reported role; an endpoint that reported none takes all.
--- a/internal/decision/hashrouter/pick.go
+++ b/internal/decision/hashrouter/pick.go
@@ -13,20 +13,20 @@
 type pick struct {
 	snapshot *snapshot
 	job      *carawayspread.Job
-	standing func(carawayspread.EndpointID) carawayspread.Standing
+	standing func(carawayspread.EndpointID) carawayspread.Availability
 	now      time.Time
 }
 
-func (p *pick) ask(e *endpoint) carawayspread.Standing {
+func (p *pick) ask(e *endpoint) carawayspread.Availability {
 	if e == nil {
-		return carawayspread.StandingOut
+		return carawayspread.AvailabilityExcluded
 	}
 	m := p.snapshot.byID[e.id]
 	if m.leaving || !m.lost.IsZero() || e.down(p.now) {
-		return carawayspread.StandingOut
+		return carawayspread.AvailabilityExcluded
 	}
 	if e.full(p.now) {
-		return carawayspread.StandingBusy
+		return carawayspread.AvailabilityBusy
 	}
 	return p.standing(e.id)
 }
@@ -59,15 +59,15 @@
 // is resident, then anywhere. It compares two available endpoints, so that the
 // work of a lost one is spread over the others.
 func (p *pick) displaced(rings ...*ring) carawayspread.Choice {
-	choice := carawayspread.Choice{Displaced: true}
+	choice := carawayspread.Choice{OutsideAffinity: true}
 	best := 0.0
 	hash := mix(p.job.Fingerprint, p.job.Prefix)
 	for n := range uint64(maxDisplaced) {
 		e := rings[int(n)*len(rings)/maxDisplaced].after(mix(hash, n))
 		switch p.ask(e) {
-		case carawayspread.StandingBusy:
+		case carawayspread.AvailabilityBusy:
 			choice.Wait = true
-		case carawayspread.StandingFree:
+		case carawayspread.AvailabilityFree:
 			if choice.Endpoint == "" {
 				choice.Endpoint, best = e.id, e.load(p.now)
 				continue
--- a/internal/decision/hashrouter/roles_test.go
+++ b/internal/decision/hashrouter/roles_test.go
@@ -24,7 +24,7 @@
 	for range 2 {
 		clock.Advance(rebuildAfter)
 		for _, id := range ids {
-			r.Reported(carawayspread.Report{Endpoint: id, Taken: clock.Now(), Slots: 8, Role: roles[id]})
+			r.Reported(carawayspread.EndpointReport{Endpoint: id, MeasuredAt: clock.Now(), Slots: 8, Role: roles[id]})
 		}
 	}
 	tests := map[string]struct {
@@ -43,7 +43,7 @@
 				job := &carawayspread.Job{Phase: test.phase, Prefix: 1 + n%16, Fingerprint: n}
 				job.Cost.Prefill = test.prefill
 				choice := r.Pick(job, without())
-				qt.Assert(t, choice.Displaced, qt.IsFalse)
+				qt.Assert(t, choice.OutsideAffinity, qt.IsFalse)
 				qt.Assert(t, roles[choice.Endpoint], qt.Equals, test.want)
 			}
 		})
--- a/internal/decision/hashrouter/router.go
+++ b/internal/decision/hashrouter/router.go
@@ -102,7 +102,7 @@
 }
 
 // Reported takes a report of a known endpoint.
-func (r *Router) Reported(report carawayspread.Report) {
+func (r *Router) Reported(report carawayspread.EndpointReport) {
 	m, ok := r.now.Load().byID[report.Endpoint]
 	if ok && m.hear(report) {
 		r.stale.Store(true)
@@ -125,7 +125,7 @@
 
 // Pick chooses between the two candidates of the job, and looks further only
 // when both are unavailable.
-func (r *Router) Pick(job *carawayspread.Job, standing func(carawayspread.EndpointID) carawayspread.Standing) carawayspread.Choice {
+func (r *Router) Pick(job *carawayspread.Job, standing func(carawayspread.EndpointID) carawayspread.Availability) carawayspread.Choice {
 	s := r.now.Load()
 	if s.listed == 0 {
 		return carawayspread.Choice{}
@@ -137,17 +137,17 @@
 	a, b := p.ask(first), p.ask(second)
 	chosen := first
 	switch {
-	case a == carawayspread.StandingFree && b == carawayspread.StandingFree:
+	case a == carawayspread.AvailabilityFree && b == carawayspread.AvailabilityFree:
 		chosen = r.lighter(&p, first, second)
-	case a == carawayspread.StandingFree:
-	case b == carawayspread.StandingFree && (a == carawayspread.StandingOut || r.overflows(&p)):
+	case a == carawayspread.AvailabilityFree:
+	case b == carawayspread.AvailabilityFree && (a == carawayspread.AvailabilityExcluded || r.overflows(&p)):
 		chosen = second
-	case a == carawayspread.StandingBusy || b == carawayspread.StandingBusy:
+	case a == carawayspread.AvailabilityBusy || b == carawayspread.AvailabilityBusy:
 		return carawayspread.Choice{Wait: true}
 	default:
 		return p.displaced(home.current, s.any.all.current)
 	}
-	return carawayspread.Choice{Endpoint: chosen.id, Displaced: r.replaced(&p, home, other, chosen)}
+	return carawayspread.Choice{Endpoint: chosen.id, OutsideAffinity: r.replaced(&p, home, other, chosen)}
 }
 
 // replaced reports whether the chosen endpoint took the place of a candidate
--- a/internal/decision/hashrouter/router_test.go
+++ b/internal/decision/hashrouter/router_test.go
@@ -26,14 +26,14 @@
 	return listed
 }
 
-func without(out ...carawayspread.EndpointID) func(carawayspread.EndpointID) carawayspread.Standing {
-	return func(id carawayspread.EndpointID) carawayspread.Standing {
+func without(out ...carawayspread.EndpointID) func(carawayspread.EndpointID) carawayspread.Availability {
+	return func(id carawayspread.EndpointID) carawayspread.Availability {
 		for _, o := range out {
 			if id == o {
-				return carawayspread.StandingOut
+				return carawayspread.AvailabilityExcluded
 			}
 		}
-		return carawayspread.StandingFree
+		return carawayspread.AvailabilityFree
 	}
 }
 
@@ -44,10 +44,10 @@
 	for name, models := range map[string][]string{"not known": nil, "known to lack it": {"other"}} {
 		t.Run(name, func(t *testing.T) {
 			r, clock := newTestRouter(1, "e1", "e2")
-			r.Reported(carawayspread.Report{Endpoint: "e1", Taken: clock.Now(), Slots: 8, Models: []string{"m"}})
-			r.Reported(carawayspread.Report{Endpoint: "e2", Taken: clock.Now(), Slots: 8, Models: models})
+			r.Reported(carawayspread.EndpointReport{Endpoint: "e1", MeasuredAt: clock.Now(), Slots: 8, Models: []string{"m"}})
+			r.Reported(carawayspread.EndpointReport{Endpoint: "e2", MeasuredAt: clock.Now(), Slots: 8, Models: models})
 			clock.Advance(rebuildAfter)
-			r.Reported(carawayspread.Report{Endpoint: "e1", Taken: clock.Now(), Slots: 8, Models: []string{"m"}, Crashed: true})
+			r.Reported(carawayspread.EndpointReport{Endpoint: "e1", MeasuredAt: clock.Now(), Slots: 8, Models: []string{"m"}, Crashed: true})
 			for n := range uint64(100) {
 				choice := r.Pick(&carawayspread.Job{Model: "m", Prefix: n, Fingerprint: n}, without("e1"))
 				qt.Assert(t, choice.Endpoint, qt.Equals, carawayspread.EndpointID("e2"))
@@ -69,7 +69,7 @@
 	for n := range uint64(entries) {
 		r, clock := newTestRouter(n, ids...)
 		for i, id := range ids {
-			r.Reported(carawayspread.Report{Endpoint: id, Taken: clock.Now().Add(-time.Duration(n) * time.Second), Running: i % 16, Slots: 16})
+			r.Reported(carawayspread.EndpointReport{Endpoint: id, MeasuredAt: clock.Now().Add(-time.Duration(n) * time.Second), Running: i % 16, Slots: 16})
 		}
 		routers = append(routers, r)
 	}
@@ -78,7 +78,7 @@
 		for range 20 {
 			for _, r := range routers {
 				choice := r.Pick(&carawayspread.Job{Prefix: fingerprint % 7, Fingerprint: fingerprint}, without())
-				qt.Assert(t, choice.Displaced, qt.IsFalse)
+				qt.Assert(t, choice.OutsideAffinity, qt.IsFalse)
 				reached[choice.Endpoint] = true
 			}
 		}
--- a/internal/decision/leastoutstanding/router.go
+++ b/internal/decision/leastoutstanding/router.go
@@ -14,7 +14,7 @@
 type Router struct {
 	mu        sync.Mutex
 	endpoints []carawayspread.Endpoint
-	reported  map[carawayspread.EndpointID]carawayspread.Report
+	reported  map[carawayspread.EndpointID]carawayspread.EndpointReport
 	since     map[carawayspread.EndpointID]int // own attempts started less ended since the report
 }
 
@@ -25,7 +25,7 @@
 // New returns a router without endpoints.
 func New() *Router {
 	return &Router{
-		reported: map[carawayspread.EndpointID]carawayspread.Report{},
+		reported: map[carawayspread.EndpointID]carawayspread.EndpointReport{},
 		since:    map[carawayspread.EndpointID]int{},
 	}
 }
@@ -38,7 +38,7 @@
 }
 
 // Reported keeps the report.
-func (r *Router) Reported(report carawayspread.Report) {
+func (r *Router) Reported(report carawayspread.EndpointReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reported[report.Endpoint] = report
@@ -46,7 +46,7 @@
 }
 
 // Pick returns the free endpoint with the fewest requests.
-func (r *Router) Pick(_ *carawayspread.Job, standing func(carawayspread.EndpointID) carawayspread.Standing) carawayspread.Choice {
+func (r *Router) Pick(_ *carawayspread.Job, standing func(carawayspread.EndpointID) carawayspread.Availability) carawayspread.Choice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	choice, least := carawayspread.Choice{}, 0
@@ -56,9 +56,9 @@
 			continue
 		}
 		switch standing(endpoint.ID()) {
-		case carawayspread.StandingBusy:
+		case carawayspread.AvailabilityBusy:
 			choice.Wait = true
-		case carawayspread.StandingFree:
+		case carawayspread.AvailabilityFree:
 			outstanding := report.Running + report.Waiting + r.since[endpoint.ID()]
 			if choice.Endpoint == "" || outstanding < least {
 				choice.Endpoint, least = endpoint.ID(), outstanding
--- a/internal/decision/overload/bench_test.go
+++ b/internal/decision/overload/bench_test.go
@@ -42,7 +42,7 @@
 			for b.Loop() {
 				_ = s.Offer(jobs[n%lookahead])
 				next := s.Next()
-				s.Done(next, carawayspread.Served{Cost: next.Cost, FirstToken: time.Millisecond, Took: 10 * time.Millisecond})
+				s.Done(next, carawayspread.JobResult{Cost: next.Cost, FirstToken: time.Millisecond, Took: 10 * time.Millisecond})
 				jobs[n%lookahead] = next
 				n++
 			}
@@ -63,14 +63,14 @@
 				}
 				r.SetEndpoints(listed)
 				for n, e := range listed {
-					r.Reported(carawayspread.Report{Endpoint: e.ID(), Taken: time.Now(), Running: n % 8, Slots: 16})
+					r.Reported(carawayspread.EndpointReport{Endpoint: e.ID(), MeasuredAt: time.Now(), Running: n % 8, Slots: 16})
 				}
 				random := rand.New(rand.NewPCG(1, 3))
 				jobs := make([]carawayspread.Job, 4096)
 				for n := range jobs {
 					jobs[n] = carawayspread.Job{Prefix: random.Uint64(), Fingerprint: random.Uint64()}
 				}
-				free := func(carawayspread.EndpointID) carawayspread.Standing { return carawayspread.StandingFree }
+				free := func(carawayspread.EndpointID) carawayspread.Availability { return carawayspread.AvailabilityFree }
 				b.ReportAllocs()
 				n := 0
 				for b.Loop() {
--- a/internal/decision/overload/crash_test.go
+++ b/internal/decision/overload/crash_test.go
@@ -137,7 +137,7 @@
 		if n.f.off {
 			return choice.Endpoint, false, n.f.workers[choice.Endpoint].run(job, choice.Endpoint, false)
 		}
-		verdict, refusal := n.memory.Decide(quarantine.Attempt{Fingerprint: job.Fingerprint, Displaced: choice.Displaced})
+		verdict, refusal := n.memory.Decide(quarantine.Attempt{Fingerprint: job.Fingerprint, Displaced: choice.OutsideAffinity})
 		if refusal != nil {
 			return "", false, refusal
 		}
@@ -162,7 +162,7 @@
 	victims = append(victims, n.memory.Crashes(job.Fingerprint)...)
 	choice := n.pick(job, victims)
 	refusal = refuse(carawayspread.CodeSuspect)
-	if choice.Endpoint != "" && (!choice.Displaced || len(victims) == 0) {
+	if choice.Endpoint != "" && (!choice.OutsideAffinity || len(victims) == 0) {
 		refusal = n.f.workers[choice.Endpoint].run(job, choice.Endpoint, true)
 	}
 	if refusal != nil {
@@ -172,11 +172,11 @@
 }
 
 func (n *node) pick(job *carawayspread.Job, without []carawayspread.EndpointID) carawayspread.Choice {
-	return n.router.Pick(job, func(id carawayspread.EndpointID) carawayspread.Standing {
+	return n.router.Pick(job, func(id carawayspread.EndpointID) carawayspread.Availability {
 		if w := n.f.workers[id]; w == nil || !w.up || slices.Contains(without, id) {
-			return carawayspread.StandingOut
+			return carawayspread.AvailabilityExcluded
 		}
-		return carawayspread.StandingFree
+		return carawayspread.AvailabilityFree
 	})
 }
 
--- a/internal/decision/overload/silence_test.go
+++ b/internal/decision/overload/silence_test.go
@@ -40,15 +40,15 @@
 			router.SetEndpoints(listed)
 			ejector.SetEndpoints(ids)
 			scheduler.Capacity(4)
-			free := func(carawayspread.EndpointID) carawayspread.Standing { return carawayspread.StandingFree }
+			free := func(carawayspread.EndpointID) carawayspread.Availability { return carawayspread.AvailabilityFree }
 			before := map[carawayspread.EndpointID]int{}
 			for n, id := range ids {
-				router.Reported(carawayspread.Report{Endpoint: id, Taken: clock.Now(), Running: 4 * n, Slots: 16, Crashed: n == 9})
+				router.Reported(carawayspread.EndpointReport{Endpoint: id, MeasuredAt: clock.Now(), Running: 4 * n, Slots: 16, Crashed: n == 9})
 			}
 			for range 20 { // measured as so slow that no ruling is in time
 				late := job()
 				_ = scheduler.Offer(late)
-				scheduler.Done(scheduler.Next(), carawayspread.Served{Cost: rulingCost, FirstToken: time.Minute, Took: time.Minute})
+				scheduler.Done(scheduler.Next(), carawayspread.JobResult{Cost: rulingCost, FirstToken: time.Minute, Took: time.Minute})
 				limiter.Acquire()
 				limiter.Release(time.Second, carawayspread.OutcomeServed)
 				ejector.Observe(ids[0], 0, carawayspread.OutcomeFailed)
@@ -72,7 +72,7 @@
 			qt.Check(t, scheduler.Offer(job()), qt.IsNil) // waits, though the old rates would refuse it
 			for range 50 {
 				choice := router.Pick(fixed, free)
-				qt.Check(t, choice.Displaced, qt.IsFalse)
+				qt.Check(t, choice.OutsideAffinity, qt.IsFalse)
 				qt.Check(t, before[choice.Endpoint] > 0 || len(before) == 1, qt.IsTrue) // the same candidates
 			}
 			picked := map[carawayspread.EndpointID]int{}
--- a/internal/decision/overload/world_test.go
+++ b/internal/decision/overload/world_test.go
@@ -200,8 +200,8 @@
 	return true
 }
 
-func (e *engine) report() carawayspread.Report {
-	return carawayspread.Report{Endpoint: e.id, Taken: e.w.now, Running: e.running, Waiting: len(e.waiting), Slots: e.slots}
+func (e *engine) report() carawayspread.EndpointReport {
+	return carawayspread.EndpointReport{Endpoint: e.id, MeasuredAt: e.w.now, Running: e.running, Waiting: len(e.waiting), Slots: e.slots}
 }
 
 func (e *engine) times(job *carawayspread.Job) (first, whole time.Duration) {
@@ -257,14 +257,14 @@
 func (n *entry) place(job *carawayspread.Job) {
 	full := map[carawayspread.EndpointID]bool{}
 	for {
-		choice := n.router.Pick(job, func(id carawayspread.EndpointID) carawayspread.Standing {
+		choice := n.router.Pick(job, func(id carawayspread.EndpointID) carawayspread.Availability {
 			if !n.ejector.Allowed(id) {
-				return carawayspread.StandingOut
+				return carawayspread.AvailabilityExcluded
 			}
 			if full[id] || !n.free(id) {
-				return carawayspread.StandingBusy
+				return carawayspread.AvailabilityBusy
 			}
-			return carawayspread.StandingFree
+			return carawayspread.AvailabilityFree
 		})
 		if choice.Endpoint == "" {
 			n.scheduler.Requeue(job)
@@ -316,7 +316,7 @@
 	n.limiters[id].Release(latency, carawayspread.OutcomeServed)
 	n.ejector.Observe(id, latency, carawayspread.OutcomeServed)
 	n.budget.Succeeded()
-	n.scheduler.Done(job, carawayspread.Served{Cost: job.Cost, FirstToken: first, Took: took})
+	n.scheduler.Done(job, carawayspread.JobResult{Cost: job.Cost, FirstToken: first, Took: took})
 	n.w.answered[job]++
 	t, target := n.w.tally(job.Workspace, job.Class.Name()), job.Class.Target()
 	got := n.w.now.Sub(job.Arrived)
@@ -334,7 +334,7 @@
 	n.router.Ended(id, job, carawayspread.OutcomeFailed)
 	n.limiters[id].Release(0, carawayspread.OutcomeFailed)
 	n.ejector.Observe(id, 0, carawayspread.OutcomeFailed)
-	n.scheduler.Done(job, carawayspread.Served{})
+	n.scheduler.Done(job, carawayspread.JobResult{})
 	if !n.budget.Allow() || n.scheduler.Offer(job) != nil {
 		n.w.tally(job.Workspace, job.Class.Name()).failed++
 		n.w.answered[job]++
--- a/internal/decision/placement/candidates.go
+++ b/internal/decision/placement/candidates.go
@@ -26,7 +26,7 @@
 // Load pattern: a fleet grows to a thousand engines. Without it each process looks at
 // all of them for each prompt, half a millisecond, which is more than a small process
 // may take at its share of the requests.
-func (pool *pool) candidates(req carawayspread.Placing, chains []uint64) []*engine {
+func (pool *pool) candidates(req carawayspread.PlacementRequest, chains []uint64) []*engine {
 	n := len(pool.ordered)
 	if n <= fewEngines {
 		return pool.ordered
@@ -35,7 +35,7 @@
 	if len(chains) > 1 {
 		drawn = pool.homesOf(chains[len(chains)-2], drawn)
 	}
-	start, step := req.Key%uint64(n), float64(n)/drawnEngines
+	start, step := req.Fingerprint%uint64(n), float64(n)/drawnEngines
 	for i := range drawnEngines {
 		e := pool.ordered[(start+uint64(float64(i)*step))%uint64(n)]
 		if !slices.Contains(drawn[:min(homes, len(drawn))], e) {
--- a/internal/decision/placement/candidates_test.go
+++ b/internal/decision/placement/candidates_test.go
@@ -15,7 +15,7 @@
 func TestHomesAreWeighedInALargePool(t *testing.T) {
 	p, clock := fleetOf(1300, 0)
 	other, _ := fleetOf(1300, 0)
-	chains := someRequest(1).Prompt.Chains()
+	chains := someRequest(1).Prompt.PrefixHashes()
 	weighed := p.pools["s"].candidates(someRequest(1), chains)
 	qt.Check(t, len(weighed) <= homes+drawnEngines, qt.IsTrue)
 	again := other.pools["s"].candidates(someRequest(1+3*274), chains)
@@ -33,7 +33,7 @@
 	next.Arrived, next.Deadline = clock.Now(), clock.Now().Add(8*time.Second)
 	second, err := p.Place(next)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, second.Found, qt.Equals, 512+4870)
+	qt.Check(t, second.CachedTokens, qt.Equals, 512+4870)
 }
 
 // A caller is served as long as any engine is open, though none of those that are
@@ -42,7 +42,7 @@
 	p, clock := fleetOf(1300, 0)
 	for _, e := range p.pools["s"].ordered {
 		if e.endpoint.ID() != "w100" { // one that answers
-			p.Aside(e.endpoint.ID(), time.Minute)
+			p.Suspend(e.endpoint.ID(), time.Minute)
 		}
 	}
 	for n := range 20 {
--- a/internal/decision/placement/cost_test.go
+++ b/internal/decision/placement/cost_test.go
@@ -27,23 +27,23 @@
 	}
 	p.SetEndpoints("s", all)
 	for peer := range peers {
-		var notices []carawayspread.Notice
+		var notices []carawayspread.LoadUpdate
 		for n := range 5 {
-			notices = append(notices, carawayspread.Notice{Endpoint: hashOf(all[(peer*5+n)%engines].ID()), Running: 1, Tokens: 4000})
+			notices = append(notices, carawayspread.LoadUpdate{EndpointHash: hashOf(all[(peer*5+n)%engines].ID()), Running: 1, Tokens: 4000})
 		}
-		p.Heard(fmt.Sprint(peer), notices)
+		p.ApplyLoadUpdates(fmt.Sprint(peer), notices)
 	}
 	return p, clock
 }
 
-func someRequest(n int) carawayspread.Placing {
-	prompt := &carawayspread.Prompt{Tokens: 12000, Most: 38, Parts: []carawayspread.Part{
+func someRequest(n int) carawayspread.PlacementRequest {
+	prompt := &carawayspread.Prompt{Tokens: 12000, MaxOutputTokens: 38, Parts: []carawayspread.PromptPart{
 		{ID: uint64(n % 3), Tokens: 512}, {ID: uint64(100 + n%274), Tokens: 4870}, {ID: uint64(1000 + n), Tokens: 6618},
 	}}
-	return carawayspread.Placing{
-		Route:   &carawayspread.Route{Name: "r", Target: 600 * time.Millisecond, Pause: 150 * time.Millisecond},
-		Service: carawayspread.RoutedService{Name: "s", Engine: &carawayspread.EngineTraits{Slots: 16, KVTokens: 454149, TokenBytes: 35136, LinkBits: 550e9, Stride: 4, Fetches: true}},
-		Prompt:  prompt, Key: uint64(n) * 0x9e3779b97f4a7c15, Bytes: 12000,
+	return carawayspread.PlacementRequest{
+		Route:   &carawayspread.Route{Name: "r", TargetLatency: 600 * time.Millisecond, TargetGap: 150 * time.Millisecond},
+		Service: carawayspread.RoutedService{Name: "s", Engine: &carawayspread.EngineTraits{Slots: 16, KVTokens: 454149, KVBytesPerToken: 35136, LinkBitsPerSecond: 550e9, TokensPerEvent: 4, FetchesKV: true}},
+		Prompt:  prompt, Fingerprint: uint64(n) * 0x9e3779b97f4a7c15, Bytes: 12000,
 	}
 }
 
--- a/internal/decision/placement/engine.go
+++ b/internal/decision/placement/engine.go
@@ -133,7 +133,7 @@
 
 // found returns the tokens at the beginning of the prompt that the engine is
 // thought to hold.
-func (e *engine) found(parts []carawayspread.Part, chains []uint64, memory int) int {
+func (e *engine) found(parts []carawayspread.PromptPart, chains []uint64, memory int) int {
 	sum := 0
 	for i, chain := range chains {
 		m, ok := e.parts[chain]
--- a/internal/decision/placement/fetch.go
+++ b/internal/decision/placement/fetch.go
@@ -23,7 +23,7 @@
 }
 
 // find notes what each open engine holds of the prompt, and returns who holds most.
-func (pool *pool) find(now time.Time, engines []*engine, req carawayspread.Placing, chains []uint64) sources {
+func (pool *pool) find(now time.Time, engines []*engine, req carawayspread.PlacementRequest, chains []uint64) sources {
 	var s sources
 	for _, e := range engines {
 		if !pool.open(now, e, req) {
@@ -49,15 +49,15 @@
 // A prefix that one engine holds would be prefilled again by another while the first has a
 // queue, though a link brings it in a tenth of the time or less.
 func (s sources) fetch(e *engine, traits *carawayspread.EngineTraits, reading time.Duration) (*engine, time.Duration) {
-	if !traits.Fetches || traits.LinkBits <= 0 || e.holds >= s.most {
+	if !traits.FetchesKV || traits.LinkBitsPerSecond <= 0 || e.holds >= s.most {
 		return nil, 0
 	}
 	from, zones := s.byZone[e.endpoint.Zone()], time.Duration(1)
 	if from == nil {
 		from, zones = s.any, zoneFactor
 	}
-	bits := float64(s.most-e.holds) * float64(traits.TokenBytes) * 8
-	takes := fetchSetUp + zones*time.Duration(bits/float64(traits.LinkBits)*float64(time.Second))
+	bits := float64(s.most-e.holds) * float64(traits.KVBytesPerToken) * 8
+	takes := fetchSetUp + zones*time.Duration(bits/float64(traits.LinkBitsPerSecond)*float64(time.Second))
 	if takes >= reading {
 		return nil, 0
 	}
--- a/internal/decision/placement/fetch_test.go
+++ b/internal/decision/placement/fetch_test.go
@@ -37,17 +37,17 @@
 				carawayspread.NewEndpoint("far", "s", "far", "10.0.0.2:1", false, carawayspread.WithRole(carawayspread.RolePrefill)),
 				endpointOf("answers", carawayspread.RoleDecode),
 			})
-			prompt := &carawayspread.Prompt{Tokens: 14000, Most: 10, Parts: []carawayspread.Part{{ID: 1, Tokens: 13000}, {ID: 2, Tokens: 1000}}}
-			held := prompt.Chains()[:1]
-			p.Heard("peer", []carawayspread.Notice{
-				{Endpoint: hashOf("far"), Chains: held, Read: 1, Work: 5 * time.Second},
-				{Endpoint: hashOf("holds"), Chains: held, Read: 1, Work: c.queue},
-				{Endpoint: hashOf("answers"), Running: 7},
+			prompt := &carawayspread.Prompt{Tokens: 14000, MaxOutputTokens: 10, Parts: []carawayspread.PromptPart{{ID: 1, Tokens: 13000}, {ID: 2, Tokens: 1000}}}
+			held := prompt.PrefixHashes()[:1]
+			p.ApplyLoadUpdates("peer", []carawayspread.LoadUpdate{
+				{EndpointHash: hashOf("far"), PrefixHashes: held, PrefillTokens: 1, PrefillTime: 5 * time.Second},
+				{EndpointHash: hashOf("holds"), PrefixHashes: held, PrefillTokens: 1, PrefillTime: c.queue},
+				{EndpointHash: hashOf("answers"), Running: 7},
 			})
-			req := carawayspread.Placing{
-				Route: &carawayspread.Route{Name: "r", Target: 2 * time.Second, Timeout: 10 * time.Second, Pause: 50 * time.Millisecond},
+			req := carawayspread.PlacementRequest{
+				Route: &carawayspread.Route{Name: "r", TargetLatency: 2 * time.Second, Timeout: 10 * time.Second, TargetGap: 50 * time.Millisecond},
 				Service: carawayspread.RoutedService{Name: "s", Engine: &carawayspread.EngineTraits{
-					Slots: 64, KVTokens: 1e6, Stride: 7, TokenBytes: 1000, LinkBits: c.link, Fetches: c.fetches,
+					Slots: 64, KVTokens: 1e6, TokensPerEvent: 7, KVBytesPerToken: 1000, LinkBitsPerSecond: c.link, FetchesKV: c.fetches,
 				}},
 				Prompt: prompt, Arrived: clock.Now(), Deadline: clock.Now().Add(10 * time.Second),
 			}
@@ -55,14 +55,14 @@
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, at.Endpoint.ID(), qt.Equals, c.to)
 			if c.from == "" {
-				qt.Check(t, at.Fetch, qt.IsNil)
+				qt.Check(t, at.FetchFrom, qt.IsNil)
 				return
 			}
-			qt.Assert(t, at.Fetch, qt.IsNotNil)
-			qt.Check(t, at.Fetch.ID(), qt.Equals, c.from)
-			qt.Check(t, at.Found, qt.Equals, 13000)
-			qt.Check(t, at.Fetched, qt.Equals, 13000)
-			qt.Check(t, at.Fetching > fetchSetUp, qt.IsTrue)
+			qt.Assert(t, at.FetchFrom, qt.IsNotNil)
+			qt.Check(t, at.FetchFrom.ID(), qt.Equals, c.from)
+			qt.Check(t, at.CachedTokens, qt.Equals, 13000)
+			qt.Check(t, at.FetchedTokens, qt.Equals, 13000)
+			qt.Check(t, at.FetchTime > fetchSetUp, qt.IsTrue)
 		})
 	}
 }
--- a/internal/decision/placement/home.go
+++ b/internal/decision/placement/home.go
@@ -17,7 +17,7 @@
 // home returns the reader that keeps a beginning of which nothing is known: the one
 // that draws the highest number for it. Each process draws the same, and another
 // reader that comes or goes moves no beginning but its own.
-func (pool *pool) home(now time.Time, engines []*engine, req carawayspread.Placing, chains []uint64) *engine {
+func (pool *pool) home(now time.Time, engines []*engine, req carawayspread.PlacementRequest, chains []uint64) *engine {
 	if len(chains) < 2 {
 		return nil
 	}
--- a/internal/decision/placement/home_test.go
+++ b/internal/decision/placement/home_test.go
@@ -21,11 +21,11 @@
 	for i := range 6 {
 		all = append(all, endpointOf(fmt.Sprint("reads", i), carawayspread.RolePrefill))
 	}
-	placing := func(thing uint64) carawayspread.Placing {
-		return carawayspread.Placing{
-			Route:   &carawayspread.Route{Name: "r", Target: 2 * time.Second, Timeout: 10 * time.Second, Pause: 50 * time.Millisecond},
-			Service: carawayspread.RoutedService{Name: "s", Engine: &carawayspread.EngineTraits{Slots: 64, KVTokens: 1e6, Stride: 7}},
-			Prompt:  &carawayspread.Prompt{Tokens: 14000, Most: 10, Parts: []carawayspread.Part{{ID: thing, Tokens: 13000}, {ID: 9, Tokens: 1000}}},
+	placing := func(thing uint64) carawayspread.PlacementRequest {
+		return carawayspread.PlacementRequest{
+			Route:   &carawayspread.Route{Name: "r", TargetLatency: 2 * time.Second, Timeout: 10 * time.Second, TargetGap: 50 * time.Millisecond},
+			Service: carawayspread.RoutedService{Name: "s", Engine: &carawayspread.EngineTraits{Slots: 64, KVTokens: 1e6, TokensPerEvent: 7}},
+			Prompt:  &carawayspread.Prompt{Tokens: 14000, MaxOutputTokens: 10, Parts: []carawayspread.PromptPart{{ID: thing, Tokens: 13000}, {ID: 9, Tokens: 1000}}},
 			Arrived: clock.Now(), Deadline: clock.Now().Add(10 * time.Second),
 		}
 	}
@@ -33,7 +33,7 @@
 		p := New(carawayspread.Environment{Clock: clock, Zone: "z"})
 		p.SetEndpoints("s", all)
 		p.pools["s"].kept = 0
-		p.Heard("peer", []carawayspread.Notice{{Endpoint: hashOf("answers"), Running: 7}})
+		p.ApplyLoadUpdates("peer", []carawayspread.LoadUpdate{{EndpointHash: hashOf("answers"), Running: 7}})
 		return p
 	}
 	homes := map[carawayspread.EndpointID]bool{}
@@ -41,7 +41,7 @@
 		var home carawayspread.EndpointID
 		for key := range uint64(5) {
 			req := placing(thing)
-			req.Key = key
+			req.Fingerprint = key
 			at, err := process().Place(req)
 			qt.Assert(t, err, qt.IsNil)
 			if key == 0 {
@@ -52,7 +52,7 @@
 		homes[home] = true
 
 		busy := process()
-		busy.Heard("peer", []carawayspread.Notice{{Endpoint: hashOf(home), Running: 1, Work: 1500 * time.Millisecond}})
+		busy.ApplyLoadUpdates("peer", []carawayspread.LoadUpdate{{EndpointHash: hashOf(home), Running: 1, PrefillTime: 1500 * time.Millisecond}})
 		at, err := busy.Place(placing(thing))
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, at.Endpoint.ID(), qt.Not(qt.Equals), home)
@@ -84,13 +84,13 @@
 			p.SetEndpoints("s", []carawayspread.Endpoint{
 				endpointOf("answers", carawayspread.RoleDecode), endpointOf("reads", carawayspread.RolePrefill),
 			})
-			p.Heard("peer", []carawayspread.Notice{{Endpoint: hashOf("answers"), Running: 7}})
+			p.ApplyLoadUpdates("peer", []carawayspread.LoadUpdate{{EndpointHash: hashOf("answers"), Running: 7}})
 			reader := p.byHash[hashOf("reads")]
-			placing := func(thing uint64, target time.Duration) carawayspread.Placing {
-				return carawayspread.Placing{
-					Route:   &carawayspread.Route{Name: "r", Target: target, Timeout: 10 * time.Second, Pause: 50 * time.Millisecond},
-					Service: carawayspread.RoutedService{Name: "s", Engine: &carawayspread.EngineTraits{Slots: 64, KVTokens: 1e6, Stride: 7}},
-					Prompt:  &carawayspread.Prompt{Tokens: part + 1000, Most: 10, Parts: []carawayspread.Part{{ID: thing, Tokens: part}, {ID: 9, Tokens: 1000}}},
+			placing := func(thing uint64, target time.Duration) carawayspread.PlacementRequest {
+				return carawayspread.PlacementRequest{
+					Route:   &carawayspread.Route{Name: "r", TargetLatency: target, Timeout: 10 * time.Second, TargetGap: 50 * time.Millisecond},
+					Service: carawayspread.RoutedService{Name: "s", Engine: &carawayspread.EngineTraits{Slots: 64, KVTokens: 1e6, TokensPerEvent: 7}},
+					Prompt:  &carawayspread.Prompt{Tokens: part + 1000, MaxOutputTokens: 10, Parts: []carawayspread.PromptPart{{ID: thing, Tokens: part}, {ID: 9, Tokens: 1000}}},
 					Arrived: clock.Now(), Deadline: clock.Now().Add(10 * time.Second),
 				}
 			}
@@ -106,8 +106,8 @@
 			}
 			at, err := p.Place(placing(100, 2*time.Second))
 			qt.Assert(t, err, qt.IsNil)
-			off := at.Work - reader.work(part+1000, c.held, 0)
-			qt.Check(t, off.Abs() < 20*time.Millisecond, qt.IsTrue, qt.Commentf("%v of %v", off, at.Work))
+			off := at.PrefillTime - reader.work(part+1000, c.held, 0)
+			qt.Check(t, off.Abs() < 20*time.Millisecond, qt.IsTrue, qt.Commentf("%v of %v", off, at.PrefillTime))
 			qt.Check(t, reader.pace > 0.9 && reader.pace < 1.1, qt.IsTrue, qt.Commentf("%.2f", reader.pace))
 		})
 	}
--- a/internal/decision/placement/leaving_test.go
+++ b/internal/decision/placement/leaving_test.go
@@ -20,20 +20,20 @@
 			carawayspread.NewEndpoint("b", "s", "z", "10.0.0.2:1", false),
 		}
 	}
-	var told []carawayspread.Notice
-	knows := New(carawayspread.Environment{Clock: clock, Zone: "z", Tell: func(n carawayspread.Notice) { told = append(told, n) }})
+	var told []carawayspread.LoadUpdate
+	knows := New(carawayspread.Environment{Clock: clock, Zone: "z", Broadcast: func(n carawayspread.LoadUpdate) { told = append(told, n) }})
 	waits := New(carawayspread.Environment{Clock: clock, Zone: "z"})
 	knows.SetEndpoints("s", list(false))
 	waits.SetEndpoints("s", list(false))
 	qt.Check(t, told, qt.HasLen, 0)
 	knows.SetEndpoints("s", list(true))
-	waits.Heard("knows", told)
-	req := carawayspread.Placing{
-		Route: &carawayspread.Route{Name: "r", Target: time.Second}, Service: carawayspread.RoutedService{Name: "s"},
+	waits.ApplyLoadUpdates("knows", told)
+	req := carawayspread.PlacementRequest{
+		Route: &carawayspread.Route{Name: "r", TargetLatency: time.Second}, Service: carawayspread.RoutedService{Name: "s"},
 		Arrived: clock.Now(), Deadline: clock.Now().Add(time.Minute),
 	}
 	for key := range uint64(8) {
-		req.Key = key
+		req.Fingerprint = key
 		at, err := waits.Place(req)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, at.Endpoint.ID(), qt.Equals, carawayspread.EndpointID("b"))
@@ -41,13 +41,13 @@
 	told = nil
 	knows.SetEndpoints("s", list(true))
 	qt.Check(t, told, qt.HasLen, 0, qt.Commentf("once"))
-	waits.env.Tell = func(n carawayspread.Notice) { told = append(told, n) }
+	waits.env.Broadcast = func(n carawayspread.LoadUpdate) { told = append(told, n) }
 	waits.SetEndpoints("s", list(true))
 	qt.Check(t, told, qt.HasLen, 0, qt.Commentf("it is known by now"))
 	clock.Advance(leavingFor)
 	waits.SetEndpoints("s", list(false))
 	for key := range uint64(8) {
-		req.Key = key
+		req.Fingerprint = key
 		if at, err := waits.Place(req); err == nil && at.Endpoint.ID() == "a" {
 			return
 		}
--- a/internal/decision/placement/load.go
+++ b/internal/decision/placement/load.go
@@ -75,14 +75,14 @@
 }
 
 // set takes what a peer says of an endpoint, and returns what it said before.
-func (l *loads) set(p *peer, n carawayspread.Notice) load {
-	before, next := p.loads[n.Endpoint], load{n.Running, n.Tokens}
+func (l *loads) set(p *peer, n carawayspread.LoadUpdate) load {
+	before, next := p.loads[n.EndpointHash], load{n.Running, n.Tokens}
 	if next == (load{}) {
-		delete(p.loads, n.Endpoint)
+		delete(p.loads, n.EndpointHash)
 	} else {
-		p.loads[n.Endpoint] = next
+		p.loads[n.EndpointHash] = next
 	}
-	l.add(n.Endpoint, next.minus(before))
+	l.add(n.EndpointHash, next.minus(before))
 	return before
 }
 
--- a/internal/decision/placement/pauses_test.go
+++ b/internal/decision/placement/pauses_test.go
@@ -26,11 +26,11 @@
 	return b
 }
 
-func (b *pausing) placing(tokens int) carawayspread.Placing {
-	return carawayspread.Placing{
-		Route:   &carawayspread.Route{Name: "r", Target: time.Second, Timeout: 10 * time.Second, Pause: b.pause},
-		Service: carawayspread.RoutedService{Name: "s", Engine: &carawayspread.EngineTraits{Slots: 64, KVTokens: 1e6, Stride: 7}},
-		Prompt:  &carawayspread.Prompt{Tokens: tokens, Most: 100},
+func (b *pausing) placing(tokens int) carawayspread.PlacementRequest {
+	return carawayspread.PlacementRequest{
+		Route:   &carawayspread.Route{Name: "r", TargetLatency: time.Second, Timeout: 10 * time.Second, TargetGap: b.pause},
+		Service: carawayspread.RoutedService{Name: "s", Engine: &carawayspread.EngineTraits{Slots: 64, KVTokens: 1e6, TokensPerEvent: 7}},
+		Prompt:  &carawayspread.Prompt{Tokens: tokens, MaxOutputTokens: 100},
 		Arrived: b.clock.Now(), Deadline: b.clock.Now().Add(10 * time.Second),
 	}
 }
@@ -38,8 +38,8 @@
 // answering has so many answers run, and the reader work off so much.
 func (b *pausing) answering(n int, queue time.Duration) {
 	answers, reads := b.placer.byHash[hashOf("answers")], b.placer.byHash[hashOf("reads")]
-	b.placer.Heard("peer", []carawayspread.Notice{
-		{Endpoint: answers.hash, Running: n, Tokens: 1000 * n}, {Endpoint: reads.hash, Running: 1, Work: queue},
+	b.placer.ApplyLoadUpdates("peer", []carawayspread.LoadUpdate{
+		{EndpointHash: answers.hash, Running: n, Tokens: 1000 * n}, {EndpointHash: reads.hash, Running: 1, PrefillTime: queue},
 	})
 }
 
@@ -58,10 +58,10 @@
 		t.Run(name, func(t *testing.T) {
 			b := newPausing(100 * time.Millisecond)
 			b.answering(6, c.queue)
-			b.placer.Heard("peer", []carawayspread.Notice{{Endpoint: hashOf("answers"), Running: 6, Work: 100 * time.Millisecond}})
+			b.placer.ApplyLoadUpdates("peer", []carawayspread.LoadUpdate{{EndpointHash: hashOf("answers"), Running: 6, PrefillTime: 100 * time.Millisecond}})
 			at, err := b.placer.Place(b.placing(6000))
 			qt.Assert(t, err, qt.IsNil)
-			qt.Check(t, at.Reads, qt.Equals, c.reads)
+			qt.Check(t, at.PrefillOnly, qt.Equals, c.reads)
 		})
 	}
 }
@@ -90,7 +90,7 @@
 			b.answering(c.answers, queue)
 			at, err := b.placer.Place(b.placing(c.tokens))
 			qt.Assert(t, err, qt.IsNil)
-			qt.Check(t, at.Reads, qt.Equals, c.reads)
+			qt.Check(t, at.PrefillOnly, qt.Equals, c.reads)
 		})
 	}
 }
@@ -105,13 +105,13 @@
 		carawayspread.NewEndpoint("far", "s", "far", "10.0.0.2:1", false, carawayspread.WithRole(carawayspread.RoleDecode)),
 	})
 	req := b.placing(6000)
-	req.Handed = "reads"
-	req.Service.Engine.TokenBytes, req.Service.Engine.LinkBits = 1, 6000*8*10 // a tenth of a second
+	req.PrefilledBy = "reads"
+	req.Service.Engine.KVBytesPerToken, req.Service.Engine.LinkBitsPerSecond = 1, 6000*8*10 // a tenth of a second
 	for _, c := range []struct {
 		reading time.Duration
 		want    carawayspread.EndpointID
 	}{{0, "answers"}, {time.Second, "far"}} {
-		b.placer.Heard("peer", []carawayspread.Notice{{Endpoint: hashOf("answers"), Running: 1, Work: c.reading}})
+		b.placer.ApplyLoadUpdates("peer", []carawayspread.LoadUpdate{{EndpointHash: hashOf("answers"), Running: 1, PrefillTime: c.reading}})
 		at, err := b.placer.Place(req)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, at.Endpoint.ID(), qt.Equals, c.want)
@@ -135,7 +135,7 @@
 			qt.Assert(t, err, qt.IsNil)
 			b.clock.Advance(time.Second)
 			for _, engine := range b.placer.Roles()[0].Engines {
-				qt.Check(t, engine.AnswersOnly, qt.Equals, c.only && engine.Role == carawayspread.RoleDecode)
+				qt.Check(t, engine.PrefillDelaysDecode, qt.Equals, c.only && engine.Role == carawayspread.RoleDecode)
 			}
 		})
 	}
--- a/internal/decision/placement/placer.go
+++ b/internal/decision/placement/placer.go
@@ -118,8 +118,8 @@
 
 // New returns a placer without endpoints.
 func New(env carawayspread.Environment) *Placer {
-	if env.Tell == nil {
-		env.Tell = func(carawayspread.Notice) {}
+	if env.Broadcast == nil {
+		env.Broadcast = func(carawayspread.LoadUpdate) {}
 	}
 	return &Placer{env: env, pools: map[string]*pool{}, byHash: map[uint32]*engine{}, loads: newLoads(), fair: map[string]*fairness{}}
 }
@@ -150,7 +150,7 @@
 			e = newEngine(endpoint)
 		}
 		if endpoint.Leaving() && !e.endpoint.Leaving() && !e.aside.After(now) {
-			p.env.Tell(carawayspread.Notice{Endpoint: e.hash, Running: e.own, Tokens: e.tokens, Aside: leavingFor})
+			p.env.Broadcast(carawayspread.LoadUpdate{EndpointHash: e.hash, Running: e.own, Tokens: e.tokens, SuspendedFor: leavingFor})
 		}
 		e.update(endpoint)
 		e.mostParts = max(1, min(mostParts, allParts/len(endpoints)))
@@ -171,7 +171,7 @@
 }
 
 // Place chooses an endpoint.
-func (p *Placer) Place(req carawayspread.Placing) (carawayspread.Placement, error) {
+func (p *Placer) Place(req carawayspread.PlacementRequest) (carawayspread.Placement, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.env.Clock.Now()
@@ -218,33 +218,33 @@
 	}
 }
 
-// Heard takes the notices of a peer.
-func (p *Placer) Heard(sender string, notices []carawayspread.Notice) {
+// ApplyLoadUpdates takes the notices of a peer.
+func (p *Placer) ApplyLoadUpdates(sender string, notices []carawayspread.LoadUpdate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.env.Clock.Now()
 	from := p.loads.heard(now, sender)
 	for _, n := range notices {
 		before := p.loads.set(from, n)
-		e := p.byHash[n.Endpoint]
+		e := p.byHash[n.EndpointHash]
 		if e == nil {
 			continue
 		}
 		if n.Running < before.running {
 			e.advanced = now
 		}
-		if n.Work > 0 {
-			e.begin(now, n.Work)
+		if n.PrefillTime > 0 {
+			e.begin(now, n.PrefillTime)
 			if pool := p.pools[e.endpoint.Service()]; pool != nil {
-				pool.arrived += n.Read
+				pool.arrived += n.PrefillTokens
 			}
 		}
-		e.shiftBy(max(-mostLate, min(mostLate, n.Late)))
-		if n.Aside > 0 {
-			e.aside = later(e.aside, now.Add(min(n.Aside, mostAside)))
+		e.shiftBy(max(-mostLate, min(mostLate, n.PrefillDelay)))
+		if n.SuspendedFor > 0 {
+			e.aside = later(e.aside, now.Add(min(n.SuspendedFor, mostAside)))
 		}
-		if n.Read > 0 || len(n.Chains) > 0 {
-			e.take(n.Chains, n.Read)
+		if n.PrefillTokens > 0 || len(n.PrefixHashes) > 0 {
+			e.take(n.PrefixHashes, n.PrefillTokens)
 		}
 	}
 }
--- a/internal/decision/placement/plain.go
+++ b/internal/decision/placement/plain.go
@@ -7,10 +7,10 @@
 )
 
 // placePlain chooses the endpoint of a plain service that answers first.
-func (p *Placer) placePlain(now time.Time, pool *pool, req carawayspread.Placing) (carawayspread.Placement, error) {
+func (p *Placer) placePlain(now time.Time, pool *pool, req carawayspread.PlacementRequest) (carawayspread.Placement, error) {
 	var best *engine
 	var bestFirst, bestCost, soon time.Duration
-	for e := range from(pool.ordered, req.Key) {
+	for e := range from(pool.ordered, req.Fingerprint) {
 		if !pool.open(now, e, req) {
 			continue
 		}
@@ -34,7 +34,7 @@
 	if now.Add(bestFirst).After(req.Deadline) {
 		return carawayspread.Placement{}, p.tooLate(bestFirst)
 	}
-	return carawayspread.Placement{Endpoint: best.endpoint, First: bestFirst}, nil
+	return carawayspread.Placement{Endpoint: best.endpoint, TimeToFirstEvent: bestFirst}, nil
 }
 
 // queued returns how many times its own time an answer takes at an endpoint with so
--- a/internal/decision/placement/plain_test.go
+++ b/internal/decision/placement/plain_test.go
@@ -22,9 +22,9 @@
 	p.SetEndpoints("s", []carawayspread.Endpoint{
 		carawayspread.NewEndpoint("w", "s", "z", "10.0.0.1:1", false, carawayspread.WithSlots(slots)),
 	})
-	req := carawayspread.Placing{Route: &carawayspread.Route{Name: "r", Target: 300 * time.Millisecond}, Service: carawayspread.RoutedService{Name: "s"}}
+	req := carawayspread.PlacementRequest{Route: &carawayspread.Route{Name: "r", TargetLatency: 300 * time.Millisecond}, Service: carawayspread.RoutedService{Name: "s"}}
 	type running struct {
-		stay carawayspread.Stay
+		stay carawayspread.AttemptTracker
 		sent time.Time
 		ends time.Time
 		said time.Duration
@@ -49,7 +49,7 @@
 		}
 		all = left
 		asked++
-		req.Arrived, req.Deadline, req.Key = now, now.Add(600*time.Millisecond), rand.Uint64()
+		req.Arrived, req.Deadline, req.Fingerprint = now, now.Add(600*time.Millisecond), rand.Uint64()
 		at, err := p.Place(req)
 		if err != nil {
 			refused++
@@ -62,7 +62,7 @@
 			}
 		}
 		free[first] = later(now, free[first]).Add(own)
-		all = append(all, running{p.Sent(req, at), now, free[first], at.First})
+		all = append(all, running{p.Sent(req, at), now, free[first], at.TimeToFirstEvent})
 		if asked == 200 { // a pause of the endpoint, so that a queue stands from here on
 			for slot := range free {
 				free[slot] = free[slot].Add(150 * time.Millisecond)
--- a/internal/decision/placement/pool.go
+++ b/internal/decision/placement/pool.go
@@ -99,9 +99,9 @@
 }
 
 // seen takes note of a prompt.
-func (pool *pool) seen(req carawayspread.Placing) {
-	if req.Route.Pause > 0 && pool.pauses[req.Route.Name] != req.Route.Pause {
-		pool.pauses[req.Route.Name] = req.Route.Pause
+func (pool *pool) seen(req carawayspread.PlacementRequest) {
+	if req.Route.TargetGap > 0 && pool.pauses[req.Route.Name] != req.Route.TargetGap {
+		pool.pauses[req.Route.Name] = req.Route.TargetGap
 		pool.least = 0
 		for _, pause := range pool.pauses {
 			if pool.least == 0 || pause < pool.least {
@@ -109,7 +109,7 @@
 			}
 		}
 	}
-	pool.stride = req.Service.Engine.Stride
+	pool.stride = req.Service.Engine.TokensPerEvent
 	if pool.usual == 0 {
 		pool.usual = float64(req.Prompt.Tokens)
 	}
@@ -204,6 +204,6 @@
 }
 
 // open reports whether the engine may get the request.
-func (pool *pool) open(now time.Time, e *engine, req carawayspread.Placing) bool {
+func (pool *pool) open(now time.Time, e *engine, req carawayspread.PlacementRequest) bool {
 	return !e.aside.After(now) && !e.endpoint.Leaving() && !req.Exclude[e.endpoint.ID()] && pool.ejector.Allowed(e.endpoint.ID())
 }
--- a/internal/decision/placement/prompt.go
+++ b/internal/decision/placement/prompt.go
@@ -22,8 +22,8 @@
 	cold, warm time.Duration
 }
 
-func (p *Placer) placePrompt(now time.Time, pool *pool, req carawayspread.Placing) (carawayspread.Placement, error) {
-	chains := req.Prompt.Chains()
+func (p *Placer) placePrompt(now time.Time, pool *pool, req carawayspread.PlacementRequest) (carawayspread.Placement, error) {
+	chains := req.Prompt.PrefixHashes()
 	pool.seen(req)
 	engines := pool.candidates(req, chains)
 	best, ok := p.best(now, pool, engines, req, chains)
@@ -34,25 +34,25 @@
 	if !ok {
 		return carawayspread.Placement{}, nowhere()
 	}
-	if req.Handed != "" {
-		return carawayspread.Placement{Endpoint: best.engine.endpoint, First: best.first}, nil
+	if req.PrefilledBy != "" {
+		return carawayspread.Placement{Endpoint: best.engine.endpoint, TimeToFirstEvent: best.first}, nil
 	}
 	at := carawayspread.Placement{
-		Endpoint: best.engine.endpoint, Reads: best.reads, First: best.first, Found: best.found,
-		Work: best.work, Wait: best.engine.wait(now),
-		Fetching: best.takes, Fetched: best.found - best.engine.holds,
-		Cold: best.cold, Warm: best.warm,
+		Endpoint: best.engine.endpoint, PrefillOnly: best.reads, TimeToFirstEvent: best.first, CachedTokens: best.found,
+		PrefillTime: best.work, QueueTime: best.engine.wait(now),
+		FetchTime: best.takes, FetchedTokens: best.found - best.engine.holds,
+		ColdPrefillTime: best.cold, WarmPrefillTime: best.warm,
 	}
 	if best.from != nil {
-		at.Fetch = &best.from.endpoint
+		at.FetchFrom = &best.from.endpoint
 	}
 	return at, p.judge(now, req, best)
 }
 
 // best returns the cheapest way to the first event by one of the engines.
-func (p *Placer) best(now time.Time, pool *pool, engines []*engine, req carawayspread.Placing, chains []uint64) (choice, bool) {
+func (p *Placer) best(now time.Time, pool *pool, engines []*engine, req carawayspread.PlacementRequest, chains []uint64) (choice, bool) {
 	answer, continued := p.continued(now, pool, engines, req)
-	if req.Handed != "" {
+	if req.PrefilledBy != "" {
 		return answer, continued
 	}
 	held := pool.find(now, engines, req, chains)
@@ -63,8 +63,8 @@
 		away = time.Duration(homePrice * float64(shared(req.Prompt)) * float64(againPrice))
 	}
 	var best choice
-	for e := range from(engines, req.Key) {
-		if !pool.open(now, e, req) || e.reads() && (req.Direct || !continued) {
+	for e := range from(engines, req.Fingerprint) {
+		if !pool.open(now, e, req) || e.reads() && (req.SingleEndpoint || !continued) {
 			continue
 		}
 		l := p.load(now, e)
@@ -90,7 +90,7 @@
 
 // way returns what the first event takes and costs by an engine, which hands the
 // KV cache to the one of answer where it only reads.
-func (p *Placer) way(now time.Time, pool *pool, e *engine, l load, held sources, answer choice, req carawayspread.Placing) choice {
+func (p *Placer) way(now time.Time, pool *pool, e *engine, l load, held sources, answer choice, req carawayspread.PlacementRequest) choice {
 	found := e.holds
 	work := e.work(req.Prompt.Tokens, found, l.running)
 	less := e.work(req.Prompt.Tokens, held.most, l.running)
@@ -127,8 +127,8 @@
 // several times as long. If only running answers counted, the next prompt would cost
 // nothing where one is prefilled already, and engines that decode would prefill for as
 // long as the load lasts.
-func (pool *pool) spoils(now time.Time, e *engine, running int, work time.Duration, req carawayspread.Placing) time.Duration {
-	bears, stride := pool.bears(), req.Service.Engine.Stride
+func (pool *pool) spoils(now time.Time, e *engine, running int, work time.Duration, req carawayspread.PlacementRequest) time.Duration {
+	bears, stride := pool.bears(), req.Service.Engine.TokensPerEvent
 	if bears == 0 || running == 0 {
 		return 0
 	}
@@ -140,16 +140,16 @@
 	if e.pause(running, stride, wait, req.Prompt.Tokens) <= bears {
 		late += float64(running)
 	}
-	return time.Duration(late * float64(req.Route.Target))
+	return time.Duration(late * float64(req.Route.TargetLatency))
 }
 
 // judge refuses what would be too late to be worth its engine time.
-func (p *Placer) judge(now time.Time, req carawayspread.Placing, way choice) error {
+func (p *Placer) judge(now time.Time, req carawayspread.PlacementRequest, way choice) error {
 	first := way.first
 	if now.Add(first).After(req.Deadline) {
 		return p.tooLate(first)
 	}
-	if req.Owed {
+	if req.Admitted {
 		return nil
 	}
 	fair := p.fair[req.Route.Name]
@@ -157,10 +157,10 @@
 		fair = &fairness{}
 		p.fair[req.Route.Name] = fair
 	}
-	target, alone := float64(req.Route.Target), float64(way.alone)
+	target, alone := float64(req.Route.TargetLatency), float64(way.alone)
 	var allowed time.Duration
 	var kind int
-	if req.Late {
+	if req.TargetMissed {
 		kind = fair.kind(weight(req.Prompt))
 		allowed = time.Duration(max(latePatience*target, (1+lateQueue+fair.grant(kind))*alone))
 	} else {
@@ -175,18 +175,18 @@
 }
 
 // continued returns the engine that would go on from a KV cache first.
-func (p *Placer) continued(now time.Time, pool *pool, engines []*engine, req carawayspread.Placing) (choice, bool) {
+func (p *Placer) continued(now time.Time, pool *pool, engines []*engine, req carawayspread.PlacementRequest) (choice, bool) {
 	var best choice
 	zone := p.env.Zone
-	if from := pool.engines[req.Handed]; from != nil {
+	if from := pool.engines[req.PrefilledBy]; from != nil {
 		zone = from.endpoint.Zone()
 	}
 	traits := req.Service.Engine
 	var move time.Duration
-	if traits.LinkBits > 0 {
-		move = time.Duration(float64(req.Prompt.Tokens) * float64(traits.TokenBytes) * 8 / float64(traits.LinkBits) * float64(time.Second))
+	if traits.LinkBitsPerSecond > 0 {
+		move = time.Duration(float64(req.Prompt.Tokens) * float64(traits.KVBytesPerToken) * 8 / float64(traits.LinkBitsPerSecond) * float64(time.Second))
 	}
-	for e := range from(engines, req.Key) {
+	for e := range from(engines, req.Fingerprint) {
 		if e.reads() || !pool.open(now, e, req) {
 			continue
 		}
@@ -205,9 +205,9 @@
 			cost += otherZone
 			transfer *= otherZoneTransfer
 		}
-		cost += min(transfer, time.Duration(transferPriceMost*float64(req.Route.Target)))
-		if bears := pool.bears(); bears > 0 && e.pause(l.running, traits.Stride, e.wait(now), req.Prompt.Tokens) > bears {
-			cost += req.Route.Target // it would be late by a pause
+		cost += min(transfer, time.Duration(transferPriceMost*float64(req.Route.TargetLatency)))
+		if bears := pool.bears(); bears > 0 && e.pause(l.running, traits.TokensPerEvent, e.wait(now), req.Prompt.Tokens) > bears {
+			cost += req.Route.TargetLatency // it would be late by a pause
 		}
 		cost += first
 		if best.engine == nil || cost < best.cost {
@@ -218,7 +218,7 @@
 }
 
 // crossing prices the bytes of a request that go to another availability zone.
-func (p *Placer) crossing(e *engine, req carawayspread.Placing) time.Duration {
+func (p *Placer) crossing(e *engine, req carawayspread.PlacementRequest) time.Duration {
 	if e.endpoint.Zone() == p.env.Zone {
 		return 0
 	}
@@ -226,7 +226,7 @@
 }
 
 // rest prices the answer after its first event.
-func (p *Placer) rest(now time.Time, e *engine, running int, req carawayspread.Placing) time.Duration {
+func (p *Placer) rest(now time.Time, e *engine, running int, req carawayspread.PlacementRequest) time.Duration {
 	takes := time.Duration(size(req.Prompt)-req.Prompt.Tokens) * e.token(now, running)
 	price := time.Duration(tokenPrice * float64(takes))
 	if over := takes - time.Duration(answerShare*float64(req.Deadline.Sub(now))); over > 0 {
@@ -236,7 +236,7 @@
 }
 
 // fits reports whether the engine has a slot and memory for the request.
-func fits(l load, e *engine, req carawayspread.Placing) bool {
+func fits(l load, e *engine, req carawayspread.PlacementRequest) bool {
 	traits := req.Service.Engine
 	slots := max(1, e.endpoint.Slots())
 	if e.endpoint.Slots() == 0 {
@@ -250,9 +250,9 @@
 
 // size returns the tokens of a request in an engine's memory.
 func size(prompt *carawayspread.Prompt) int {
-	out := prompt.Most
-	if prompt.Hint > 0 {
-		out = min(out, prompt.Hint)
+	out := prompt.MaxOutputTokens
+	if prompt.LengthHint > 0 {
+		out = min(out, prompt.LengthHint)
 	}
 	return prompt.Tokens + out
 }
--- a/internal/decision/placement/replay_test.go
+++ b/internal/decision/placement/replay_test.go
@@ -105,14 +105,14 @@
 	newPlacer, _ := carawayspread.Placers.Get(name)
 	for n := range processes {
 		env := carawayspread.Environment{Clock: r.clock, Zone: "z0", Rand: rand.New(rand.NewPCG(3, uint64(n)))}
-		env.Tell = func(notice carawayspread.Notice) {
+		env.Broadcast = func(notice carawayspread.LoadUpdate) {
 			if !r.told {
 				return
 			}
 			r.after(2*time.Millisecond, func() {
 				for other, placer := range r.placers {
 					if other != n {
-						placer.Heard(fmt.Sprint(n), []carawayspread.Notice{notice})
+						placer.ApplyLoadUpdates(fmt.Sprint(n), []carawayspread.LoadUpdate{notice})
 					}
 				}
 			})
@@ -172,25 +172,25 @@
 	r.place(placer, p, req)
 }
 
-func (r *replay) placing(p pattern) carawayspread.Placing {
-	prompt := &carawayspread.Prompt{Tokens: p.tokens, Most: 20, Parts: []carawayspread.Part{
+func (r *replay) placing(p pattern) carawayspread.PlacementRequest {
+	prompt := &carawayspread.Prompt{Tokens: p.tokens, MaxOutputTokens: 20, Parts: []carawayspread.PromptPart{
 		{ID: uint64(r.rand.IntN(max(1, p.things))) + uint64(p.tokens)<<20, Tokens: p.shared}, {ID: r.rand.Uint64(), Tokens: p.tokens - p.shared},
 	}}
-	return carawayspread.Placing{
-		Route:   &carawayspread.Route{Target: p.target},
-		Service: carawayspread.RoutedService{Name: "s", Engine: &carawayspread.EngineTraits{Slots: 64, KVTokens: 1e6, TokenBytes: 1}},
-		Prompt:  prompt, Arrived: r.clock.Now(), Deadline: r.clock.Now().Add(8 * time.Second), Bytes: p.bytes, Key: r.rand.Uint64(),
+	return carawayspread.PlacementRequest{
+		Route:   &carawayspread.Route{TargetLatency: p.target},
+		Service: carawayspread.RoutedService{Name: "s", Engine: &carawayspread.EngineTraits{Slots: 64, KVTokens: 1e6, KVBytesPerToken: 1}},
+		Prompt:  prompt, Arrived: r.clock.Now(), Deadline: r.clock.Now().Add(8 * time.Second), Bytes: p.bytes, Fingerprint: r.rand.Uint64(),
 	}
 }
 
-func (r *replay) place(placer carawayspread.Placer, p pattern, req carawayspread.Placing) {
+func (r *replay) place(placer carawayspread.Placer, p pattern, req carawayspread.PlacementRequest) {
 	at, err := placer.Place(req)
 	if refusal, refused := carawayspread.AsError(err); refused {
-		if req.Late {
+		if req.TargetMissed {
 			r.refused++
 			return
 		}
-		req.Late = true // its caller comes back once, when it was told to
+		req.TargetMissed = true // its caller comes back once, when it was told to
 		r.after(refusal.RetryAfter(), func() { r.place(placer, p, req) })
 		return
 	}
@@ -200,9 +200,9 @@
 		r.crossed++
 	}
 	stay := placer.Sent(req, at)
-	chain := req.Prompt.Chains()[0]
+	chain := req.Prompt.PrefixHashes()[0]
 	took := 5 * time.Millisecond
-	if req.Handed == "" {
+	if req.PrefilledBy == "" {
 		fresh := p.tokens
 		if seen, ok := e.read[chain]; ok && now.Sub(seen) < modelKeeps {
 			fresh -= p.shared
@@ -216,7 +216,7 @@
 		}
 		e.read[chain] = now
 		work := time.Duration(float64(fresh)*e.slow) * modelToken
-		if !at.Reads {
+		if !at.PrefillOnly {
 			work *= 2
 		}
 		e.free = later(now, e.free).Add(work)
@@ -225,13 +225,13 @@
 	r.after(took, func() {
 		stay.Answered()
 		stay.End(carawayspread.OutcomeServed)
-		if at.Reads {
-			req.Handed = at.Endpoint.ID()
+		if at.PrefillOnly {
+			req.PrefilledBy = at.Endpoint.ID()
 			r.place(placer, p, req)
 			return
 		}
 		waited := r.clock.Now().Sub(req.Arrived)
-		if !req.Late {
+		if !req.TargetMissed {
 			r.worst = max(r.worst, waited)
 		}
 		if waited <= p.target {
@@ -309,7 +309,7 @@
 	_, err := r.placers[0].Place(r.placing(huge))
 	qt.Check(t, err, qt.IsNil, qt.Commentf("nothing else is there"))
 	late := r.placing(huge)
-	late.Late = true
+	late.TargetMissed = true
 	_, err = r.placers[0].Place(late)
 	qt.Check(t, err, qt.IsNil, qt.Commentf("it was refused before, and nothing else is there"))
 	busy := short
@@ -331,7 +331,7 @@
 	qt.Check(t, r.worst < flood.target*3/2, qt.IsTrue, qt.Commentf("whoever is taken at once is answered soon"))
 	qt.Check(t, r.refused > r.asked/5, qt.IsTrue)
 	qt.Check(t, float64(r.inTime)/float64(taken) > 0.8, qt.IsTrue)
-	_, err := r.placers[0].Place(carawayspread.Placing{Service: carawayspread.RoutedService{Name: "none"}})
+	_, err := r.placers[0].Place(carawayspread.PlacementRequest{Service: carawayspread.RoutedService{Name: "none"}})
 	refusal, ok := carawayspread.AsError(err)
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Check(t, refusal.NotRun(), qt.IsTrue)
@@ -445,9 +445,9 @@
 	p := r.placers[0].(*Placer)
 	e := p.pools["s"].engines["w0"]
 	e.begin(r.clock.Now(), time.Second)
-	p.Heard("peer", []carawayspread.Notice{{Endpoint: e.hash, Late: time.Hour}})
+	p.ApplyLoadUpdates("peer", []carawayspread.LoadUpdate{{EndpointHash: e.hash, PrefillDelay: time.Hour}})
 	qt.Check(t, e.wait(r.clock.Now()), qt.Equals, time.Second+surprise)
-	p.Heard("peer", []carawayspread.Notice{{Endpoint: e.hash, Late: -time.Hour}})
+	p.ApplyLoadUpdates("peer", []carawayspread.LoadUpdate{{EndpointHash: e.hash, PrefillDelay: -time.Hour}})
 	qt.Check(t, e.wait(r.clock.Now()), qt.Equals, time.Second)
 }
 
@@ -461,7 +461,7 @@
 	now := r.clock.Now()
 	start, end := e.begin(now, time.Second)
 	s := &stay{placer: p, engine: e, sent: now, start: start, end: end, shift: e.shift, pace: e.pace}
-	p.Heard("peer", []carawayspread.Notice{{Endpoint: e.hash, Late: 200 * time.Millisecond}})
+	p.ApplyLoadUpdates("peer", []carawayspread.LoadUpdate{{EndpointHash: e.hash, PrefillDelay: 200 * time.Millisecond}})
 	qt.Check(t, e.through(s), qt.Equals, end.Add(200*time.Millisecond))
 	qt.Check(t, e.wait(now), qt.Equals, 1200*time.Millisecond)
 }
--- a/internal/decision/placement/roles.go
+++ b/internal/decision/placement/roles.go
@@ -65,7 +65,7 @@
 		state := carawayspread.RoleState{
 			Endpoint: id, Role: e.endpoint.Role(), Changing: e.aside.After(now),
 			Leaving: e.endpoint.Leaving() || !pool.ejector.Allowed(id), Running: running,
-			AnswersOnly: !e.reads() && !pool.readsBeside(e, running),
+			PrefillDelaysDecode: !e.reads() && !pool.readsBeside(e, running),
 		}
 		if e.reads() {
 			readers++
@@ -80,23 +80,23 @@
 	if readers == 0 || since <= 0 {
 		return s, false
 	}
-	s.Demand = carawayspread.Demand{Taken: now, Classes: []carawayspread.ClassDemand{{
+	s.Demand = carawayspread.Demand{MeasuredAt: now, Classes: []carawayspread.ClassDemand{{
 		PrefillTokens: float64(arrived) / since.Seconds(),
 	}}}
 	return s, true
 }
 
-// Gone implements carawayspread.Placer.
-func (p *Placer) Gone(id carawayspread.EndpointID) { p.Aside(id, goneFor) }
+// MarkStale implements carawayspread.Placer.
+func (p *Placer) MarkStale(id carawayspread.EndpointID) { p.Suspend(id, goneFor) }
 
-// Aside implements carawayspread.RoleSource.
-func (p *Placer) Aside(id carawayspread.EndpointID, d time.Duration) {
+// Suspend implements carawayspread.RoleSource.
+func (p *Placer) Suspend(id carawayspread.EndpointID, d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, pool := range p.pools {
 		if e := pool.engines[id]; e != nil {
 			e.aside = later(e.aside, p.env.Clock.Now().Add(d))
-			p.env.Tell(carawayspread.Notice{Endpoint: e.hash, Running: e.own, Tokens: e.tokens, Aside: d})
+			p.env.Broadcast(carawayspread.LoadUpdate{EndpointHash: e.hash, Running: e.own, Tokens: e.tokens, SuspendedFor: d})
 		}
 	}
 }
--- a/internal/decision/placement/roles_test.go
+++ b/internal/decision/placement/roles_test.go
@@ -21,19 +21,19 @@
 func TestEngineAsideGetsNothing(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
 	peer := New(carawayspread.Environment{Clock: clock, Zone: "z"})
-	p := New(carawayspread.Environment{Clock: clock, Zone: "z", Tell: func(n carawayspread.Notice) {
-		peer.Heard("p", []carawayspread.Notice{n})
+	p := New(carawayspread.Environment{Clock: clock, Zone: "z", Broadcast: func(n carawayspread.LoadUpdate) {
+		peer.ApplyLoadUpdates("p", []carawayspread.LoadUpdate{n})
 	}})
-	request := carawayspread.Placing{
-		Route:   &carawayspread.Route{Name: "r", Target: time.Second, Timeout: 10 * time.Second},
+	request := carawayspread.PlacementRequest{
+		Route:   &carawayspread.Route{Name: "r", TargetLatency: time.Second, Timeout: 10 * time.Second},
 		Service: carawayspread.RoutedService{Name: "s", Engine: &carawayspread.EngineTraits{Slots: 8, KVTokens: 1e6}},
-		Prompt:  &carawayspread.Prompt{Tokens: 1000, Most: 10}, Arrived: clock.Now(), Deadline: clock.Now().Add(time.Hour),
+		Prompt:  &carawayspread.Prompt{Tokens: 1000, MaxOutputTokens: 10}, Arrived: clock.Now(), Deadline: clock.Now().Add(time.Hour),
 	}
 	all := []carawayspread.Endpoint{endpointOf("stays", carawayspread.RoleDecode), endpointOf("changes", carawayspread.RoleDecode)}
 	used := func(p *Placer) map[carawayspread.EndpointID]bool {
 		seen := map[carawayspread.EndpointID]bool{}
 		for key := range uint64(20) {
-			request.Key, request.Arrived = key, clock.Now()
+			request.Fingerprint, request.Arrived = key, clock.Now()
 			at, err := p.Place(request)
 			qt.Assert(t, err, qt.IsNil)
 			seen[at.Endpoint.ID()] = true
@@ -44,14 +44,14 @@
 		placer.SetEndpoints("s", all)
 		qt.Check(t, used(placer), qt.HasLen, 2)
 	}
-	p.Aside("changes", 12*time.Second)
+	p.Suspend("changes", 12*time.Second)
 	for _, placer := range []*Placer{p, peer} {
 		qt.Check(t, used(placer), qt.DeepEquals, map[carawayspread.EndpointID]bool{"stays": true})
 		placer.SetEndpoints("s", all) // the entry is still the old one
 		qt.Check(t, used(placer), qt.HasLen, 1)
 	}
 	// An answer that came late says that its entry is wrong: no reason to use it sooner.
-	p.Gone("changes")
+	p.MarkStale("changes")
 	clock.Advance(goneFor + time.Second)
 	for _, placer := range []*Placer{p, peer} {
 		qt.Check(t, used(placer), qt.HasLen, 1)
@@ -60,7 +60,7 @@
 	request.Arrived = clock.Now()
 	at, err := p.Place(request)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, at.Reads, qt.IsTrue)
+	qt.Check(t, at.PrefillOnly, qt.IsTrue)
 	clock.Advance(13 * time.Second)
 	qt.Check(t, used(peer), qt.HasLen, 2)
 }
@@ -72,8 +72,8 @@
 	p.SetEndpoints("s", []carawayspread.Endpoint{endpointOf("reads", carawayspread.RolePrefill), endpointOf("answers", carawayspread.RoleDecode)})
 	p.Roles()
 	reads := p.byHash[hashOf("reads")]
-	p.Heard("other", []carawayspread.Notice{{Endpoint: reads.hash, Running: 3, Work: time.Millisecond, Read: 5000}})
-	p.Heard("other", []carawayspread.Notice{{Endpoint: reads.hash, Running: 3, Read: 400}}) // no reading of its own
+	p.ApplyLoadUpdates("other", []carawayspread.LoadUpdate{{EndpointHash: reads.hash, Running: 3, PrefillTime: time.Millisecond, PrefillTokens: 5000}})
+	p.ApplyLoadUpdates("other", []carawayspread.LoadUpdate{{EndpointHash: reads.hash, Running: 3, PrefillTokens: 400}}) // no reading of its own
 	clock.Advance(2 * time.Second)
 	all := p.Roles()
 	qt.Assert(t, all, qt.HasLen, 1)
--- a/internal/decision/placement/stalled_test.go
+++ b/internal/decision/placement/stalled_test.go
@@ -17,9 +17,9 @@
 // urgent one that overtakes proves nothing.
 func TestWaitIsNoStallWhileTheEngineGetsOn(t *testing.T) {
 	const slow = 500 * time.Millisecond
-	start := func(t *testing.T, n, urgent int) (*pausing, []carawayspread.Stay) {
+	start := func(t *testing.T, n, urgent int) (*pausing, []carawayspread.AttemptTracker) {
 		b := newPausing(0)
-		var stays []carawayspread.Stay
+		var stays []carawayspread.AttemptTracker
 		for i := range n {
 			req := b.placing(100)
 			req.Route.Priority = 1
@@ -46,7 +46,7 @@
 	t.Run("a peer's queue", func(t *testing.T) {
 		b, stays := start(t, 1, 0)
 		for running := range 4 {
-			b.placer.Heard("peer", []carawayspread.Notice{{Endpoint: hashOf("reads"), Running: 5 - running}})
+			b.placer.ApplyLoadUpdates("peer", []carawayspread.LoadUpdate{{EndpointHash: hashOf("reads"), Running: 5 - running}})
 			qt.Check(t, stays[0].Stalled(), qt.IsFalse)
 			b.clock.Advance(slow)
 		}
--- a/internal/decision/placement/stay.go
+++ b/internal/decision/placement/stay.go
@@ -50,7 +50,7 @@
 )
 
 // Sent counts an attempt.
-func (p *Placer) Sent(req carawayspread.Placing, at carawayspread.Placement) carawayspread.Stay {
+func (p *Placer) Sent(req carawayspread.PlacementRequest, at carawayspread.Placement) carawayspread.AttemptTracker {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.env.Clock.Now()
@@ -62,19 +62,19 @@
 		s.engine = newEngine(at.Endpoint) // it left the list meanwhile
 	}
 	e := s.engine
-	notice := carawayspread.Notice{Endpoint: e.hash}
+	notice := carawayspread.LoadUpdate{EndpointHash: e.hash}
 	if req.Prompt != nil {
 		s.tokens = size(req.Prompt)
 		if req.Service.Engine != nil {
-			s.stride = req.Service.Engine.Stride
+			s.stride = req.Service.Engine.TokensPerEvent
 		}
-		chains := req.Prompt.Chains()
-		notice.Chains = chains[:max(0, len(chains)-1)] // the last part is the request's own
-		notice.Read = max(0, req.Prompt.Tokens-at.Found)
-		notice.Work = at.Work
-		e.take(notice.Chains, notice.Read+at.Fetched)
-		if s.pool != nil && at.Work > 0 {
-			s.pool.arrived += notice.Read
+		chains := req.Prompt.PrefixHashes()
+		notice.PrefixHashes = chains[:max(0, len(chains)-1)] // the last part is the request's own
+		notice.PrefillTokens = max(0, req.Prompt.Tokens-at.CachedTokens)
+		notice.PrefillTime = at.PrefillTime
+		e.take(notice.PrefixHashes, notice.PrefillTokens+at.FetchedTokens)
+		if s.pool != nil && at.PrefillTime > 0 {
+			s.pool.arrived += notice.PrefillTokens
 		}
 	}
 	s.priority = req.Route.Priority
@@ -82,18 +82,18 @@
 	e.open = append(e.open, s)
 	e.own++
 	e.tokens += s.tokens
-	if at.Work > 0 {
-		s.work, s.cold, s.warm = at.Work, at.Cold, at.Warm
-		s.shift, s.pace, s.stream = e.shift, e.pace, !at.Reads
-		s.start, s.end = e.begin(now, at.Work)
-		s.end = s.end.Add(at.Fetching)
+	if at.PrefillTime > 0 {
+		s.work, s.cold, s.warm = at.PrefillTime, at.ColdPrefillTime, at.WarmPrefillTime
+		s.shift, s.pace, s.stream = e.shift, e.pace, !at.PrefillOnly
+		s.start, s.end = e.begin(now, at.PrefillTime)
+		s.end = s.end.Add(at.FetchTime)
 		e.calls++
 	}
 	if s.pool != nil {
 		s.pool.ejector.Sent(e.endpoint.ID())
 	}
 	notice.Running, notice.Tokens = e.own, e.tokens
-	p.env.Tell(notice)
+	p.env.Broadcast(notice)
 	return s
 }
 
@@ -129,7 +129,7 @@
 			s.pool.answered(now)
 		}
 		if s.stream {
-			s.placer.env.Tell(carawayspread.Notice{Endpoint: s.engine.hash, Running: s.engine.own, Tokens: s.engine.tokens, Late: s.late})
+			s.placer.env.Broadcast(carawayspread.LoadUpdate{EndpointHash: s.engine.hash, Running: s.engine.own, Tokens: s.engine.tokens, PrefillDelay: s.late})
 			s.late = 0
 		}
 	}
@@ -206,5 +206,5 @@
 	if s.pool != nil {
 		s.pool.ejector.Observe(e.endpoint.ID(), 0, outcome)
 	}
-	p.env.Tell(carawayspread.Notice{Endpoint: e.hash, Running: e.own, Tokens: e.tokens, Late: s.late})
+	p.env.Broadcast(carawayspread.LoadUpdate{EndpointHash: e.hash, Running: e.own, Tokens: e.tokens, PrefillDelay: s.late})
 }
--- a/internal/decision/placement/transfers_test.go
+++ b/internal/decision/placement/transfers_test.go
@@ -17,17 +17,17 @@
 func TestTransfersStayInTheirZone(t *testing.T) {
 	for name, test := range map[string]struct {
 		link   int64
-		busy   carawayspread.Notice // what the engines that answer in zone a have beside
+		busy   carawayspread.LoadUpdate // what the engines that answer in zone a have beside
 		within bool
 	}{
 		"free":                   {link: 550e9, within: true},
-		"a little busier":        {link: 550e9, busy: carawayspread.Notice{Work: 30 * time.Millisecond}, within: true},
-		"busier, a faster link":  {link: 1700e9, busy: carawayspread.Notice{Work: 30 * time.Millisecond}, within: true},
-		"the zone takes no more": {link: 550e9, busy: carawayspread.Notice{Running: 64}},
+		"a little busier":        {link: 550e9, busy: carawayspread.LoadUpdate{PrefillTime: 30 * time.Millisecond}, within: true},
+		"busier, a faster link":  {link: 1700e9, busy: carawayspread.LoadUpdate{PrefillTime: 30 * time.Millisecond}, within: true},
+		"the zone takes no more": {link: 550e9, busy: carawayspread.LoadUpdate{Running: 64}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClockAt(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
-			p := New(carawayspread.Environment{Clock: clock, Zone: "a", Tell: func(carawayspread.Notice) {}})
+			p := New(carawayspread.Environment{Clock: clock, Zone: "a", Broadcast: func(carawayspread.LoadUpdate) {}})
 			zones, answers := map[carawayspread.EndpointID]string{}, map[carawayspread.EndpointID]bool{}
 			var endpoints []carawayspread.Endpoint
 			for i := range 24 {
@@ -44,24 +44,24 @@
 			moves, within := 0, 0
 			for n := range 200 {
 				for id, zone := range zones {
-					if zone == "a" && answers[id] && (test.busy.Work > 0 || test.busy.Running > 0) {
-						test.busy.Endpoint = hashOf(id)
-						p.Heard("peer", []carawayspread.Notice{test.busy})
+					if zone == "a" && answers[id] && (test.busy.PrefillTime > 0 || test.busy.Running > 0) {
+						test.busy.EndpointHash = hashOf(id)
+						p.ApplyLoadUpdates("peer", []carawayspread.LoadUpdate{test.busy})
 					}
 				}
-				req := carawayspread.Placing{
-					Route:   &carawayspread.Route{Name: "r", Target: 800 * time.Millisecond, Timeout: 10 * time.Second},
-					Service: carawayspread.RoutedService{Name: "s", Engine: &carawayspread.EngineTraits{Slots: 64, KVTokens: 520444, TokenBytes: 35136, LinkBits: test.link, Stride: 13}},
-					Prompt: &carawayspread.Prompt{Tokens: 12000, Most: 30, Parts: []carawayspread.Part{
+				req := carawayspread.PlacementRequest{
+					Route:   &carawayspread.Route{Name: "r", TargetLatency: 800 * time.Millisecond, Timeout: 10 * time.Second},
+					Service: carawayspread.RoutedService{Name: "s", Engine: &carawayspread.EngineTraits{Slots: 64, KVTokens: 520444, KVBytesPerToken: 35136, LinkBitsPerSecond: test.link, TokensPerEvent: 13}},
+					Prompt: &carawayspread.Prompt{Tokens: 12000, MaxOutputTokens: 30, Parts: []carawayspread.PromptPart{
 						{ID: uint64(n % 40), Tokens: 5400}, {ID: uint64(1000 + n), Tokens: 6600},
 					}},
-					Arrived: clock.Now(), Deadline: clock.Now().Add(10 * time.Second), Key: uint64(n) * 7919,
+					Arrived: clock.Now(), Deadline: clock.Now().Add(10 * time.Second), Fingerprint: uint64(n) * 7919,
 				}
 				at, err := p.Place(req)
 				qt.Assert(t, err, qt.IsNil)
-				if at.Reads && zones[at.Endpoint.ID()] == "a" {
+				if at.PrefillOnly && zones[at.Endpoint.ID()] == "a" {
 					reading := p.Sent(req, at)
-					req.Handed = at.Endpoint.ID()
+					req.PrefilledBy = at.Endpoint.ID()
 					next, err := p.Place(req)
 					qt.Assert(t, err, qt.IsNil)
 					moves++
--- a/internal/decision/plainplacement/placer.go
+++ b/internal/decision/plainplacement/placer.go
@@ -23,7 +23,7 @@
 
 // Placer is a carawayspread.Placer by one simple rule.
 type Placer struct {
-	pick func(p *Placer, open []carawayspread.Endpoint, req carawayspread.Placing) (carawayspread.Endpoint, bool)
+	pick func(p *Placer, open []carawayspread.Endpoint, req carawayspread.PlacementRequest) (carawayspread.Endpoint, bool)
 
 	mu     sync.Mutex
 	known  map[string][]carawayspread.Endpoint
@@ -32,7 +32,7 @@
 	turn   int
 }
 
-func register(name string, pick func(*Placer, []carawayspread.Endpoint, carawayspread.Placing) (carawayspread.Endpoint, bool)) func(carawayspread.Environment) carawayspread.Placer {
+func register(name string, pick func(*Placer, []carawayspread.Endpoint, carawayspread.PlacementRequest) (carawayspread.Endpoint, bool)) func(carawayspread.Environment) carawayspread.Placer {
 	return carawayspread.Placers.Register(name, func(carawayspread.Environment) carawayspread.Placer {
 		return &Placer{
 			pick: pick, known: map[string][]carawayspread.Endpoint{},
@@ -48,12 +48,12 @@
 	_ = register("boundedHome", boundedHome)
 )
 
-func roundRobin(p *Placer, open []carawayspread.Endpoint, _ carawayspread.Placing) (carawayspread.Endpoint, bool) {
+func roundRobin(p *Placer, open []carawayspread.Endpoint, _ carawayspread.PlacementRequest) (carawayspread.Endpoint, bool) {
 	p.turn++
 	return open[p.turn%len(open)], true
 }
 
-func leastOutstanding(p *Placer, open []carawayspread.Endpoint, _ carawayspread.Placing) (carawayspread.Endpoint, bool) {
+func leastOutstanding(p *Placer, open []carawayspread.Endpoint, _ carawayspread.PlacementRequest) (carawayspread.Endpoint, bool) {
 	best := open[0]
 	for _, e := range open[1:] {
 		if p.count[e.ID()] < p.count[best.ID()] {
@@ -64,11 +64,11 @@
 }
 
 // fixedHome sends each shared beginning to one reader, by rendezvous hashing.
-func fixedHome(p *Placer, open []carawayspread.Endpoint, req carawayspread.Placing) (carawayspread.Endpoint, bool) {
-	if req.Prompt == nil || len(req.Prompt.Parts) < 2 || req.Handed != "" {
+func fixedHome(p *Placer, open []carawayspread.Endpoint, req carawayspread.PlacementRequest) (carawayspread.Endpoint, bool) {
+	if req.Prompt == nil || len(req.Prompt.Parts) < 2 || req.PrefilledBy != "" {
 		return leastOutstanding(p, open, req)
 	}
-	chains := req.Prompt.Chains()
+	chains := req.Prompt.PrefixHashes()
 	shared := chains[len(chains)-2]
 	var best carawayspread.Endpoint
 	var most uint64
@@ -82,9 +82,9 @@
 	return best, true
 }
 
-func boundedHome(p *Placer, open []carawayspread.Endpoint, req carawayspread.Placing) (carawayspread.Endpoint, bool) {
+func boundedHome(p *Placer, open []carawayspread.Endpoint, req carawayspread.PlacementRequest) (carawayspread.Endpoint, bool) {
 	home, ok := fixedHome(p, open, req)
-	if req.Prompt != nil && req.Handed == "" && p.tokens[home.ID()] > boundTokens {
+	if req.Prompt != nil && req.PrefilledBy == "" && p.tokens[home.ID()] > boundTokens {
 		return home, false
 	}
 	return home, ok
@@ -100,7 +100,7 @@
 }
 
 // Place chooses by the rule.
-func (p *Placer) Place(req carawayspread.Placing) (carawayspread.Placement, error) {
+func (p *Placer) Place(req carawayspread.PlacementRequest) (carawayspread.Placement, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var readers, others []carawayspread.Endpoint
@@ -117,18 +117,18 @@
 		return carawayspread.Placement{}, refuse()
 	}
 	open, reads := others, false
-	if req.Prompt != nil && req.Handed == "" && !req.Direct && len(readers) > 0 {
+	if req.Prompt != nil && req.PrefilledBy == "" && !req.SingleEndpoint && len(readers) > 0 {
 		open, reads = readers, true
 	}
 	pick := p.pick
-	if req.Handed != "" {
+	if req.PrefilledBy != "" {
 		pick = leastOutstanding
 	}
 	endpoint, ok := pick(p, open, req)
-	if !ok && !req.Owed {
+	if !ok && !req.Admitted {
 		return carawayspread.Placement{}, refuse()
 	}
-	return carawayspread.Placement{Endpoint: endpoint, Reads: reads}, nil
+	return carawayspread.Placement{Endpoint: endpoint, PrefillOnly: reads}, nil
 }
 
 func refuse() *carawayspread.Error {
@@ -144,7 +144,7 @@
 }
 
 // Sent counts an attempt.
-func (p *Placer) Sent(req carawayspread.Placing, at carawayspread.Placement) carawayspread.Stay {
+func (p *Placer) Sent(req carawayspread.PlacementRequest, at carawayspread.Placement) carawayspread.AttemptTracker {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := &stay{placer: p, id: at.Endpoint.ID()}
@@ -175,11 +175,11 @@
 	})
 }
 
-// Heard learns nothing from peers.
-func (*Placer) Heard(string, []carawayspread.Notice) {}
+// ApplyLoadUpdates learns nothing from peers.
+func (*Placer) ApplyLoadUpdates(string, []carawayspread.LoadUpdate) {}
 
 // Crashed learns nothing.
 func (*Placer) Crashed(carawayspread.EndpointID) {}
 
-// Gone changes nothing: the list will tell.
-func (*Placer) Gone(carawayspread.EndpointID) {}
+// MarkStale changes nothing: the list will tell.
+func (*Placer) MarkStale(carawayspread.EndpointID) {}
--- a/internal/decision/readers/rota.go
+++ b/internal/decision/readers/rota.go
@@ -88,7 +88,7 @@
 
 	mu      sync.Mutex
 	members map[uint64]member
-	matters [carawayspread.Matters]matter
+	matters [carawayspread.ResourceCount]matter
 	failed  time.Time // of the last call that failed with none answered since; zero for none
 	retired bool
 }
@@ -100,13 +100,13 @@
 }
 
 // Heard takes what a peer says of itself.
-func (r *Rota) Heard(id uint64, s carawayspread.Presence) {
+func (r *Rota) Heard(id uint64, s carawayspread.PeerStatus) {
 	if s.Zone != r.zone || id == r.id {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.members[id] = member{capacity: s.Capacity, reads: s.Reads, heard: r.clock.Now()}
+	r.members[id] = member{capacity: s.Capacity, reads: s.CanReadStore, heard: r.clock.Now()}
 }
 
 // Retire leaves reading to others, as this process ends.
@@ -151,13 +151,13 @@
 }
 
 // Confirm takes note that the store confirmed what this process holds.
-func (r *Rota) Confirm(of carawayspread.Matter, at time.Time) {
+func (r *Rota) Confirm(of carawayspread.Resource, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.confirmLocked(of, at)
 }
 
-func (r *Rota) confirmLocked(of carawayspread.Matter, at time.Time) {
+func (r *Rota) confirmLocked(of carawayspread.Resource, at time.Time) {
 	m := &r.matters[of]
 	if at.After(m.confirmed) {
 		m.confirmed = at
@@ -166,7 +166,7 @@
 
 // Called takes note of an own call that began then and that the store answered
 // or, with an error, did not. What the answer says holds as of the time given.
-func (r *Rota) Called(of carawayspread.Matter, begun, asOf time.Time, err error) {
+func (r *Rota) Called(of carawayspread.Resource, begun, asOf time.Time, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := &r.matters[of]
@@ -183,7 +183,7 @@
 
 // Age returns for how long the store has not confirmed the matter; false where it
 // never has.
-func (r *Rota) Age(of carawayspread.Matter) (time.Duration, bool) {
+func (r *Rota) Age(of carawayspread.Resource) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	confirmed := r.matters[of].confirmed
@@ -191,13 +191,13 @@
 }
 
 // Stale reports whether the matter was confirmed too long ago, or never.
-func (r *Rota) Stale(of carawayspread.Matter) bool {
+func (r *Rota) Stale(of carawayspread.Resource) bool {
 	age, ever := r.Age(of)
 	return !ever || age > r.bound(of)
 }
 
 // Due returns in what time this process is to call the store by itself.
-func (r *Rota) Due(of carawayspread.Matter) time.Duration {
+func (r *Rota) Due(of carawayspread.Resource) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
@@ -224,15 +224,15 @@
 
 // every returns the time between a reader's calls; routes are watched without a
 // pause.
-func (r *Rota) every(of carawayspread.Matter) time.Duration {
-	if of == carawayspread.MatterRoutes {
+func (r *Rota) every(of carawayspread.Resource) time.Duration {
+	if of == carawayspread.ResourceRoutes {
 		return 0
 	}
 	return part(everyPart, r.terms.Leaving)
 }
 
-func (r *Rota) bound(of carawayspread.Matter) time.Duration {
-	if of == carawayspread.MatterRoutes {
+func (r *Rota) bound(of carawayspread.Resource) time.Duration {
+	if of == carawayspread.ResourceRoutes {
 		return part(watchBoundPart, r.terms.InForce)
 	}
 	return part(boundPart, r.terms.Leaving)
--- a/internal/decision/readers/rota_test.go
+++ b/internal/decision/readers/rota_test.go
@@ -17,20 +17,20 @@
 // answers; of two alike the one that drew the smaller number.
 func TestWhoReads(t *testing.T) {
 	for name, c := range map[string]struct {
-		peer  carawayspread.Presence
+		peer  carawayspread.PeerStatus
 		id    uint64
 		after time.Duration // since the peer was heard
 		reads bool
 	}{
 		"alone":                    {reads: true, after: time.Hour},
-		"smaller beside it":        {peer: carawayspread.Presence{Zone: "z", Capacity: 4, Reads: true}, reads: true},
-		"larger beside it":         {peer: carawayspread.Presence{Zone: "z", Capacity: 6, Reads: true}},
-		"larger, not answered":     {peer: carawayspread.Presence{Zone: "z", Capacity: 6}, reads: true},
-		"larger, in another zone":  {peer: carawayspread.Presence{Zone: "y", Capacity: 6, Reads: true}, reads: true},
-		"larger, silent":           {peer: carawayspread.Presence{Zone: "z", Capacity: 6, Reads: true}, after: 2 * time.Second, reads: true},
-		"alike, drew less":         {peer: carawayspread.Presence{Zone: "z", Capacity: 5, Reads: true}, id: 6},
-		"alike, drew more":         {peer: carawayspread.Presence{Zone: "z", Capacity: 5, Reads: true}, id: 8, reads: true},
-		"its own message, doubled": {peer: carawayspread.Presence{Zone: "z", Capacity: 9, Reads: true}, id: 7, reads: true},
+		"smaller beside it":        {peer: carawayspread.PeerStatus{Zone: "z", Capacity: 4, CanReadStore: true}, reads: true},
+		"larger beside it":         {peer: carawayspread.PeerStatus{Zone: "z", Capacity: 6, CanReadStore: true}},
+		"larger, not answered":     {peer: carawayspread.PeerStatus{Zone: "z", Capacity: 6}, reads: true},
+		"larger, in another zone":  {peer: carawayspread.PeerStatus{Zone: "y", Capacity: 6, CanReadStore: true}, reads: true},
+		"larger, silent":           {peer: carawayspread.PeerStatus{Zone: "z", Capacity: 6, CanReadStore: true}, after: 2 * time.Second, reads: true},
+		"alike, drew less":         {peer: carawayspread.PeerStatus{Zone: "z", Capacity: 5, CanReadStore: true}, id: 6},
+		"alike, drew more":         {peer: carawayspread.PeerStatus{Zone: "z", Capacity: 5, CanReadStore: true}, id: 8, reads: true},
+		"its own message, doubled": {peer: carawayspread.PeerStatus{Zone: "z", Capacity: 9, CanReadStore: true}, id: 7, reads: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
@@ -46,7 +46,7 @@
 // the promised time old, another when nothing has confirmed it for half of it, and
 // one that was not answered after a pause.
 func TestWhenToCall(t *testing.T) {
-	larger := carawayspread.Presence{Zone: "z", Capacity: 6, Reads: true}
+	larger := carawayspread.PeerStatus{Zone: "z", Capacity: 6, CanReadStore: true}
 	for name, c := range map[string]struct {
 		beside      bool
 		err         error
@@ -59,14 +59,14 @@
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
 			r := New(7, "z", 5, terms, clock)
-			qt.Check(t, r.Due(carawayspread.MatterList), qt.Equals, time.Duration(0))
+			qt.Check(t, r.Due(carawayspread.ResourceEndpoints), qt.Equals, time.Duration(0))
 			if c.beside {
 				r.Heard(1, larger)
 			}
-			r.Called(carawayspread.MatterList, clock.Now(), clock.Now(), c.err)
-			due := r.Due(carawayspread.MatterList)
+			r.Called(carawayspread.ResourceEndpoints, clock.Now(), clock.Now(), c.err)
+			due := r.Due(carawayspread.ResourceEndpoints)
 			qt.Check(t, due >= c.least && due <= c.most, qt.IsTrue, qt.Commentf("%v", due))
-			qt.Check(t, r.Stale(carawayspread.MatterList), qt.Equals, c.err != nil)
+			qt.Check(t, r.Stale(carawayspread.ResourceEndpoints), qt.Equals, c.err != nil)
 		})
 	}
 }
--- a/internal/decision/rolebalance/policy.go
+++ b/internal/decision/rolebalance/policy.go
@@ -98,7 +98,7 @@
 // Plan returns the changes that are worth their price now, often none.
 func (p *Policy) Plan(engines []carawayspread.RoleState, demand carawayspread.Demand) []carawayspread.RoleChange {
 	now := p.clock.Now()
-	if !demand.Taken.After(p.taken) || now.Sub(demand.Taken) > staleAfter {
+	if !demand.MeasuredAt.After(p.taken) || now.Sub(demand.MeasuredAt) > staleAfter {
 		return nil
 	}
 	readers, answerers, busy := p.sort(now, engines)
@@ -159,15 +159,15 @@
 	for _, engine := range answerers {
 		running += float64(engine.Running)
 	}
-	dt := demand.Taken.Sub(p.taken)
-	p.taken = demand.Taken
+	dt := demand.MeasuredAt.Sub(p.taken)
+	p.taken = demand.MeasuredAt
 	if p.began.IsZero() {
 		if reading > 0 {
-			p.began, p.reading, p.running = demand.Taken, reading, running
+			p.began, p.reading, p.running = demand.MeasuredAt, reading, running
 		}
 		return
 	}
-	span := min(memory, demand.Taken.Sub(p.began))
+	span := min(memory, demand.MeasuredAt.Sub(p.began))
 	weight := 1 - math.Exp(-dt.Seconds()/max(dt.Seconds(), span.Seconds()))
 	p.reading += weight * (reading - p.reading)
 	p.running += weight * (running - p.running)
@@ -211,7 +211,7 @@
 func separate(answerers []carawayspread.RoleState) bool {
 	only := 0
 	for _, engine := range answerers {
-		if engine.AnswersOnly {
+		if engine.PrefillDelaysDecode {
 			only++
 		}
 	}
--- a/internal/decision/rolebalance/policy_test.go
+++ b/internal/decision/rolebalance/policy_test.go
@@ -59,12 +59,12 @@
 			engine := &b.engines[i]
 			engine.Changing = now.Before(b.done[engine.Endpoint])
 			engine.Running = 0
-			engine.AnswersOnly = b.only && engine.Role != carawayspread.RolePrefill
+			engine.PrefillDelaysDecode = b.only && engine.Role != carawayspread.RolePrefill
 			if engine.Role != carawayspread.RolePrefill {
 				engine.Running = int(running) / max(1, answerers)
 			}
 		}
-		for _, change := range b.policy.Plan(b.engines, carawayspread.Demand{Taken: now, Classes: []carawayspread.ClassDemand{{PrefillTokens: reading * speedOfOne}}}) {
+		for _, change := range b.policy.Plan(b.engines, carawayspread.Demand{MeasuredAt: now, Classes: []carawayspread.ClassDemand{{PrefillTokens: reading * speedOfOne}}}) {
 			b.changes++
 			b.done[change.Endpoint] = now.Add(6 * time.Second)
 			for i := range b.engines {
@@ -188,7 +188,7 @@
 	taken := b.clock.Now()
 	for range 600 {
 		b.clock.Advance(time.Second)
-		plan := b.policy.Plan(b.engines, carawayspread.Demand{Taken: taken, Classes: []carawayspread.ClassDemand{{PrefillTokens: 9 * speedOfOne}}})
+		plan := b.policy.Plan(b.engines, carawayspread.Demand{MeasuredAt: taken, Classes: []carawayspread.ClassDemand{{PrefillTokens: 9 * speedOfOne}}})
 		qt.Assert(t, plan, qt.HasLen, 0)
 	}
 }
--- a/internal/decision/rolepolicy/rolepolicy.go
+++ b/internal/decision/rolepolicy/rolepolicy.go
@@ -100,10 +100,10 @@
 // be undone when reports return. The roles last accepted stay.
 func (p *Policy) Plan(engines []carawayspread.RoleState, demand carawayspread.Demand) []carawayspread.RoleChange {
 	now := p.clock.Now()
-	if !demand.Taken.After(p.planned) || now.Sub(demand.Taken) > staleAfter {
+	if !demand.MeasuredAt.After(p.planned) || now.Sub(demand.MeasuredAt) > staleAfter {
 		return nil
 	}
-	p.planned = demand.Taken
+	p.planned = demand.MeasuredAt
 	p.forget(engines)
 	fleet := newFleet(engines)
 	if fleet.prefillRate == 0 || fleet.decodeRate == 0 {
@@ -111,7 +111,7 @@
 	}
 	model := model{stall: p.stall, base: p.baseGap.Seconds(), tight: tightest(demand.Classes, p.baseGap)}
 	work := newLoad(demand, fleet, p.forecast.persistence(now))
-	dt := p.forecast.observe(demand.Taken, work)
+	dt := p.forecast.observe(demand.MeasuredAt, work)
 	p.margin.settle(now, dt, model, work)
 
 	expected := p.forecast.ahead(p.down)
--- a/internal/decision/rolepolicy/rolepolicy_test.go
+++ b/internal/decision/rolepolicy/rolepolicy_test.go
@@ -65,7 +65,7 @@
 // demand is long prompts under one target beside short answers.
 func (b *bench) demand(long carawayspread.Target, prefill, decode float64) carawayspread.Demand {
 	n := float64(len(b.engines))
-	return carawayspread.Demand{Taken: b.clock.Now(), Classes: []carawayspread.ClassDemand{
+	return carawayspread.Demand{MeasuredAt: b.clock.Now(), Classes: []carawayspread.ClassDemand{
 		{Class: carawayspread.NewClass("long", long, false), PrefillTokens: 8000 * n * prefill, DecodeTokens: 1000 * n * .05},
 		{Class: carawayspread.NewClass("short", answers, false), PrefillTokens: 8000 * n * .04, DecodeTokens: 1000 * n * decode},
 	}}
@@ -74,7 +74,7 @@
 // step plans once, carries out the changes, and returns how many there were.
 func (b *bench) step(demand carawayspread.Demand) int {
 	b.clock.Advance(pace)
-	demand.Taken = b.clock.Now()
+	demand.MeasuredAt = b.clock.Now()
 	now := b.clock.Now()
 	for i := range b.engines {
 		b.engines[i].Changing = now.Before(b.until[b.engines[i].Endpoint])
@@ -121,7 +121,7 @@
 			for range 60 {
 				b.clock.Advance(pace)
 				demand := b.demand(patient, .6, .2)
-				demand.Taken = b.clock.Now().Add(-test.age)
+				demand.MeasuredAt = b.clock.Now().Add(-test.age)
 				if test.twice {
 					b.policy.Plan(nil, demand)
 				}
@@ -296,7 +296,7 @@
 			for i := range b.N {
 				bench.clock.Advance(pace)
 				demand := demands[i/50%2]
-				demand.Taken = bench.clock.Now()
+				demand.MeasuredAt = bench.clock.Now()
 				bench.policy.Plan(bench.engines, demand)
 			}
 		})
--- a/internal/decision/roundrobin/router.go
+++ b/internal/decision/roundrobin/router.go
@@ -32,10 +32,10 @@
 }
 
 // Reported does nothing.
-func (r *Router) Reported(carawayspread.Report) {}
+func (r *Router) Reported(carawayspread.EndpointReport) {}
 
 // Pick returns the next free endpoint.
-func (r *Router) Pick(_ *carawayspread.Job, standing func(carawayspread.EndpointID) carawayspread.Standing) carawayspread.Choice {
+func (r *Router) Pick(_ *carawayspread.Job, standing func(carawayspread.EndpointID) carawayspread.Availability) carawayspread.Choice {
 	endpoints := *r.endpoints.Load()
 	wait := false
 	for range endpoints {
@@ -44,9 +44,9 @@
 			continue
 		}
 		switch standing(next.ID()) {
-		case carawayspread.StandingFree:
+		case carawayspread.AvailabilityFree:
 			return carawayspread.Choice{Endpoint: next.ID()}
-		case carawayspread.StandingBusy:
+		case carawayspread.AvailabilityBusy:
 			wait = true
 		}
 	}
--- a/internal/measure/engine_test.go
+++ b/internal/measure/engine_test.go
@@ -305,13 +305,13 @@
 	return tokens
 }
 
-func (e *engine) report() carawayspread.Report {
+func (e *engine) report() carawayspread.EndpointReport {
 	slots := e.hw.slots
 	if e.role == carawayspread.RolePrefill {
 		slots = 4 // prompts one after the other
 	}
-	return carawayspread.Report{
-		Endpoint: e.id, Taken: e.Now(), Running: len(e.running) + min(1, len(e.prompts)),
+	return carawayspread.EndpointReport{
+		Endpoint: e.id, MeasuredAt: e.Now(), Running: len(e.running) + min(1, len(e.prompts)),
 		Waiting: len(e.waiting) + max(0, len(e.prompts)-1), Slots: slots, Role: e.role,
 		Draining: e.changing, PrefillRate: e.hw.prefillRate, DecodeRate: decodeRate,
 	}
--- a/internal/measure/entry_test.go
+++ b/internal/measure/entry_test.go
@@ -53,7 +53,7 @@
 	budget   carawayspread.RetryBudget // nil allows all
 	limiters map[carawayspread.EndpointID]carawayspread.Limiter
 	inflight map[carawayspread.EndpointID]int
-	known    map[carawayspread.EndpointID]carawayspread.Report
+	known    map[carawayspread.EndpointID]carawayspread.EndpointReport
 	engines  map[carawayspread.EndpointID]*engine
 	calls    map[*carawayspread.Job]*call
 	again    []*call // refused by an engine, to be sent to another
@@ -72,7 +72,7 @@
 		ejector:  build(carawayspread.Ejectors, r.variant.ejector, env),
 		limiters: map[carawayspread.EndpointID]carawayspread.Limiter{},
 		inflight: map[carawayspread.EndpointID]int{},
-		known:    map[carawayspread.EndpointID]carawayspread.Report{},
+		known:    map[carawayspread.EndpointID]carawayspread.EndpointReport{},
 		engines:  map[carawayspread.EndpointID]*engine{},
 		calls:    map[*carawayspread.Job]*call{},
 		queued:   map[int]*carawayspread.Cost{},
@@ -182,14 +182,14 @@
 	if not == carawayspread.RolePrefill {
 		job.Phase = carawayspread.RoleDecode
 	}
-	choice := e.router.Pick(&job, func(id carawayspread.EndpointID) carawayspread.Standing {
+	choice := e.router.Pick(&job, func(id carawayspread.EndpointID) carawayspread.Availability {
 		switch k := e.known[id]; {
 		case k.Role == not || k.Draining || !e.ejector.Allowed(id):
-			return carawayspread.StandingOut
+			return carawayspread.AvailabilityExcluded
 		case not == carawayspread.RoleDecode && e.inflight[id] >= e.limiters[id].Limit():
-			return carawayspread.StandingBusy
+			return carawayspread.AvailabilityBusy
 		}
-		return carawayspread.StandingFree
+		return carawayspread.AvailabilityFree
 	})
 	if choice.Endpoint == "" {
 		return false
@@ -229,7 +229,7 @@
 	if e.budget != nil && !e.budget.Allow() {
 		c.failed = true
 		c.last = e.now
-		e.sched.Done(c.job, carawayspread.Served{})
+		e.sched.Done(c.job, carawayspread.JobResult{})
 		e.run.over(c)
 		return
 	}
@@ -288,7 +288,7 @@
 	if e.budget != nil {
 		e.budget.Succeeded()
 	}
-	e.sched.Done(c.job, carawayspread.Served{
+	e.sched.Done(c.job, carawayspread.JobResult{
 		Cost:       carawayspread.Cost{Prefill: int(c.toPrefill), Decode: int(c.answer)},
 		FirstToken: c.first - c.next, Took: c.last - c.next,
 	})
--- a/internal/measure/run_test.go
+++ b/internal/measure/run_test.go
@@ -171,7 +171,7 @@
 
 // plan asks the policy with what the entries measured since the last time.
 func (r *run) plan() {
-	demand := carawayspread.Demand{Taken: r.Now()}
+	demand := carawayspread.Demand{MeasuredAt: r.Now()}
 	for k, shape := range r.fleet.kinds {
 		if shape.plain || r.now > r.fleet.length {
 			continue
--- a/internal/process/entry/ending_test.go
+++ b/internal/process/entry/ending_test.go
@@ -14,7 +14,7 @@
 func TestWhatACallerOfARunThatIsGivenUpIsTold(t *testing.T) {
 	ending := func() context.Context {
 		ctx, end := context.WithCancelCause(context.Background())
-		end(carawayspread.ErrEnding)
+		end(carawayspread.ErrShutdown)
 		return ctx
 	}
 	late := func() context.Context {
--- a/internal/process/entry/entry.go
+++ b/internal/process/entry/entry.go
@@ -200,7 +200,7 @@
 func (e *Entry) Lane(service string) *lane.Lane { return (*e.lanes.Load())[service] }
 
 // Reported passes a load report to the lane of the service.
-func (e *Entry) Reported(service string, report carawayspread.Report) {
+func (e *Entry) Reported(service string, report carawayspread.EndpointReport) {
 	if l, ok := (*e.lanes.Load())[service]; ok {
 		l.Reported(report)
 	}
--- a/internal/process/entry/relay.go
+++ b/internal/process/entry/relay.go
@@ -54,12 +54,12 @@
 }
 
 // served returns what the answer took, as far as it was seen.
-func (a *relay) served(whole bool, began, ended time.Time) carawayspread.Served {
+func (a *relay) served(whole bool, began, ended time.Time) carawayspread.JobResult {
 	cost := a.call.Job().Cost
 	if a.call.Stream() || !whole {
 		cost.Decode = a.events
 	}
-	served := carawayspread.Served{Cost: cost, Took: ended.Sub(began)}
+	served := carawayspread.JobResult{Cost: cost, Took: ended.Sub(began)}
 	if !a.first.IsZero() {
 		served.FirstToken = a.first.Sub(began)
 	}
--- a/internal/process/entry/run.go
+++ b/internal/process/entry/run.go
@@ -47,7 +47,7 @@
 	if c.Once() {
 		run, end := context.WithCancelCause(context.WithoutCancel(ctx))
 		stop := context.AfterFunc(ctx, func() {
-			if cause := context.Cause(ctx); errors.Is(cause, carawayspread.ErrEnding) {
+			if cause := context.Cause(ctx); errors.Is(cause, carawayspread.ErrShutdown) {
 				end(cause)
 			}
 		})
@@ -129,7 +129,7 @@
 
 // isEnding reports whether a run is given up as the process ends.
 func isEnding(ctx context.Context) bool {
-	return errors.Is(context.Cause(ctx), carawayspread.ErrEnding)
+	return errors.Is(context.Cause(ctx), carawayspread.ErrShutdown)
 }
 
 // gone returns the failure of a run whose context has ended.
--- a/internal/process/follower/evidence.go
+++ b/internal/process/follower/evidence.go
@@ -31,11 +31,11 @@
 	Slack() (time.Duration, bool)
 }
 
-var _ carawayspread.Evidence = (*Follower)(nil)
+var _ carawayspread.ConfigFreshness = (*Follower)(nil)
 
-// Age implements carawayspread.Evidence for routes and keys.
+// Age implements carawayspread.ConfigFreshness for routes and keys.
 func (f *Follower) Age() (time.Duration, bool) {
-	return f.store.Age(f.have(carawayspread.MatterRoutes).Stamp)
+	return f.store.Age(f.have(carawayspread.ResourceRoutes).StoreTime)
 }
 
 // RunStoreClock keeps the store's clock known until ctx ends: by the peer that reads the
@@ -52,7 +52,7 @@
 			continue
 		}
 		f.mu.Lock()
-		stampedBy := f.known[carawayspread.MatterRoutes].stampedBy
+		stampedBy := f.known[carawayspread.ResourceRoutes].stampedBy
 		f.mu.Unlock()
 		if stampedBy != "" {
 			_ = asker.AskTime(ctx, stampedBy) // the store is asked next
@@ -92,7 +92,7 @@
 	for need := r.begun + 1; r.ended < need; {
 		if r.begun == r.ended {
 			if !r.last.IsZero() && f.clock.Now().Sub(r.last) < refreshSpacing {
-				return carawayspread.ErrBusy
+				return carawayspread.ErrTooSoon
 			}
 			r.begun++
 			r.last, r.waiting = f.clock.Now(), make(chan struct{})
@@ -114,7 +114,7 @@
 func (f *Follower) ask(ctx context.Context) {
 	begun := f.clock.Now()
 	err := f.source.Watch(ctx, 0)
-	f.called(carawayspread.MatterRoutes, begun, begun, err)
+	f.called(carawayspread.ResourceRoutes, begun, begun, err)
 	r := &f.refresh
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/process/follower/evidence_test.go
+++ b/internal/process/follower/evidence_test.go
@@ -23,10 +23,10 @@
 func (c *changes) change(s *store) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s.change(carawayspread.MatterRoutes)
+	s.change(carawayspread.ResourceRoutes)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.at[s.at[carawayspread.MatterRoutes]] = time.Now()
+	c.at[s.at[carawayspread.ResourceRoutes]] = time.Now()
 }
 
 // missed returns a change that the process's evidence covers and that it does not hold.
@@ -35,7 +35,7 @@
 	if !known {
 		return 0, false
 	}
-	held := n.Have(carawayspread.MatterRoutes).Digest
+	held := n.Have(carawayspread.ResourceRoutes).Digest
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for digest, at := range c.at {
@@ -78,7 +78,7 @@
 					time.Sleep(50 * time.Millisecond)
 					for _, n := range w.nodes {
 						if digest, bad := c.missed(n); bad {
-							t.Fatalf("process %s holds %d, its evidence covers %d", n.name(), n.Have(carawayspread.MatterRoutes).Digest, digest)
+							t.Fatalf("process %s holds %d, its evidence covers %d", n.name(), n.Have(carawayspread.ResourceRoutes).Digest, digest)
 						}
 					}
 				}
@@ -121,7 +121,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		w := &world{store: &store{started: time.Now(), ver: 1, at: [carawayspread.Matters]uint64{1, 1}}}
+		w := &world{store: &store{started: time.Now(), ver: 1, at: [carawayspread.ResourceCount]uint64{1, 1}}}
 		n := w.join(1, "z", true, 1)
 		results := make(chan error, 100)
 		for range cap(results) {
@@ -132,7 +132,7 @@
 			counts[fmt.Sprint(<-results)]++
 		}
 		qt.Check(t, w.store.calls, qt.Equals, 1, qt.Commentf("%v", counts))
-		qt.Check(t, errors.Is(n.follower.Refresh(ctx), carawayspread.ErrBusy), qt.IsTrue)
+		qt.Check(t, errors.Is(n.follower.Refresh(ctx), carawayspread.ErrTooSoon), qt.IsTrue)
 		time.Sleep(refreshSpacing)
 		qt.Check(t, n.follower.Refresh(ctx), qt.IsNil)
 		qt.Check(t, w.store.calls, qt.Equals, 2)
@@ -170,7 +170,7 @@
 	newer func() // nil once it was called
 }
 
-func (o *overtaken) Have(of carawayspread.Matter) carawayspread.Claim {
+func (o *overtaken) Have(of carawayspread.Resource) carawayspread.ResourceStatus {
 	held := o.node.Have(of)
 	if newer := o.newer; newer != nil {
 		o.newer = nil
@@ -183,22 +183,22 @@
 // the one before it.
 func TestEvidenceIsNotOfANewerVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{store: &store{started: time.Now(), ver: 1, at: [carawayspread.Matters]uint64{1, 1}}}
+		w := &world{store: &store{started: time.Now(), ver: 1, at: [carawayspread.ResourceCount]uint64{1, 1}}}
 		n := w.join(1, "z", true, 1)
-		n.take(carawayspread.MatterRoutes, carawayspread.Claim{Version: 1, Digest: 1, Stamp: time.Second})
+		n.take(carawayspread.ResourceRoutes, carawayspread.ResourceStatus{Version: 1, Digest: 1, StoreTime: time.Second})
 		source := &overtaken{node: n}
 		f := New(source, n.rota, "z", 1, func() {}, carawayspread.SystemClock(), n.clock)
 		source.newer = func() {
-			n.take(carawayspread.MatterRoutes, carawayspread.Claim{Version: 2, Digest: 2, Stamp: time.Second})
-			var p carawayspread.Presence
-			p.Claims[carawayspread.MatterRoutes] = carawayspread.Claim{Version: 2, Digest: 2, Stamp: time.Minute}
+			n.take(carawayspread.ResourceRoutes, carawayspread.ResourceStatus{Version: 2, Digest: 2, StoreTime: time.Second})
+			var p carawayspread.PeerStatus
+			p.Resources[carawayspread.ResourceRoutes] = carawayspread.ResourceStatus{Version: 2, Digest: 2, StoreTime: time.Minute}
 			f.Heard(2, "peer", p)
 		}
-		had := f.have(carawayspread.MatterRoutes)
+		had := f.have(carawayspread.ResourceRoutes)
 		qt.Check(t, had.Version, qt.Equals, uint64(1))
-		qt.Check(t, had.Stamp, qt.Equals, time.Second)
-		had = f.have(carawayspread.MatterRoutes)
+		qt.Check(t, had.StoreTime, qt.Equals, time.Second)
+		had = f.have(carawayspread.ResourceRoutes)
 		qt.Check(t, had.Version, qt.Equals, uint64(2))
-		qt.Check(t, had.Stamp, qt.Equals, time.Minute)
+		qt.Check(t, had.StoreTime, qt.Equals, time.Minute)
 	})
 }
--- a/internal/process/follower/follower.go
+++ b/internal/process/follower/follower.go
@@ -15,11 +15,11 @@
 // handed.
 type Source interface {
 	// Read reads a matter whole.
-	Read(ctx context.Context, of carawayspread.Matter) error
+	Read(ctx context.Context, of carawayspread.Resource) error
 	// Watch returns when routes have changed, or after the wait.
 	Watch(ctx context.Context, wait time.Duration) error
 	// Have returns what is known of a matter.
-	Have(of carawayspread.Matter) carawayspread.Claim
+	Have(of carawayspread.Resource) carawayspread.ResourceStatus
 	// Known returns what is newer than these versions.
 	Known(routes, list uint64) carawayspread.Knowledge
 	// Learn takes what is newer than what it has, and reports whether it did.
@@ -28,7 +28,7 @@
 
 // Asker has a peer hand on what it knows of a matter.
 type Asker interface {
-	Ask(ctx context.Context, peer string, of carawayspread.Matter) error
+	Ask(ctx context.Context, peer string, of carawayspread.Resource) error
 	// AskTime has it bound the store's steady clock alone.
 	AskTime(ctx context.Context, peer string) error
 }
@@ -52,10 +52,10 @@
 
 // claim is what a peer says it knows, and when it said so.
 type claim struct {
-	of    carawayspread.Matter
+	of    carawayspread.Resource
 	peer  string
 	at    time.Time
-	claim carawayspread.Claim
+	claim carawayspread.ResourceStatus
 }
 
 // Follower is one process's side. Its Run functions are called once each.
@@ -67,11 +67,11 @@
 	announce func() // tells the peers of the zone how this process stands
 	clock    carawayspread.Clock
 	store    StoreClock
-	pulls    [carawayspread.Matters]chan claim
-	heard    [carawayspread.Matters]chan struct{} // something was heard that moves the next call
+	pulls    [carawayspread.ResourceCount]chan claim
+	heard    [carawayspread.ResourceCount]chan struct{} // something was heard that moves the next call
 
 	mu    sync.Mutex
-	known [carawayspread.Matters]known
+	known [carawayspread.ResourceCount]known
 
 	refresh refresh
 }
@@ -97,7 +97,9 @@
 }
 
 // Have returns what this process holds of a matter.
-func (f *Follower) Have(of carawayspread.Matter) carawayspread.Claim { return f.source.Have(of) }
+func (f *Follower) Have(of carawayspread.Resource) carawayspread.ResourceStatus {
+	return f.source.Have(of)
+}
 
 // Learn takes what a peer hands on.
 func (f *Follower) Learn(k carawayspread.Knowledge) (bool, error) { return f.source.Learn(k) }
@@ -105,25 +107,25 @@
 // Lost reports whether neither the store nor a peer has confirmed what this
 // process holds for too long.
 func (f *Follower) Lost() bool {
-	return f.rota.Stale(carawayspread.MatterRoutes) || f.rota.Stale(carawayspread.MatterList)
+	return f.rota.Stale(carawayspread.ResourceRoutes) || f.rota.Stale(carawayspread.ResourceEndpoints)
 }
 
 // Presence returns what this process says of itself.
-func (f *Follower) Presence() carawayspread.Presence {
-	s := carawayspread.Presence{Zone: f.zone, Capacity: f.capacity, Reads: f.rota.Able()}
-	for of := range carawayspread.Matters {
+func (f *Follower) Presence() carawayspread.PeerStatus {
+	s := carawayspread.PeerStatus{Zone: f.zone, Capacity: f.capacity, CanReadStore: f.rota.Able()}
+	for of := range carawayspread.ResourceCount {
 		age, ever := f.rota.Age(of)
 		if !ever {
 			continue
 		}
-		s.Claims[of] = f.have(of)
-		s.Claims[of].Age = age
+		s.Resources[of] = f.have(of)
+		s.Resources[of].Age = age
 	}
 	return s
 }
 
 // have returns what this process holds, by the newest version known for it.
-func (f *Follower) have(of carawayspread.Matter) carawayspread.Claim {
+func (f *Follower) have(of carawayspread.Resource) carawayspread.ResourceStatus {
 	f.mu.Lock()
 	k := f.known[of]
 	f.mu.Unlock()
@@ -132,7 +134,7 @@
 	if k.source == own.Version {
 		own.Version = max(own.Version, k.version)
 	}
-	own.Stamp = max(own.Stamp, k.stamp)
+	own.StoreTime = max(own.StoreTime, k.stamp)
 	return own
 }
 
@@ -142,11 +144,11 @@
 // here, and only as long as they are: a message that is forged or damaged costs a
 // call to the store, since this process reads for itself when nothing else is newer,
 // and moves nothing back.
-func (f *Follower) Heard(id uint64, peer string, s carawayspread.Presence) {
+func (f *Follower) Heard(id uint64, peer string, s carawayspread.PeerStatus) {
 	f.rota.Heard(id, s)
 	now := f.clock.Now()
-	for of := range carawayspread.Matters {
-		c := claim{of: of, peer: peer, at: now, claim: s.Claims[of]}
+	for of := range carawayspread.ResourceCount {
+		c := claim{of: of, peer: peer, at: now, claim: s.Resources[of]}
 		if c.claim.Version == 0 || f.agrees(c) {
 			continue
 		}
@@ -185,9 +187,9 @@
 // takeStamp takes a reading of the store's clock. Versions never go back there, so what
 // this process holds includes all that was accepted up to the reading if it is no older
 // than what the peer held.
-func (k *known) takeStamp(c claim, own carawayspread.Claim) {
-	if c.of == carawayspread.MatterRoutes && own.Version >= c.claim.Version && c.claim.Stamp > k.stamp {
-		k.stamp, k.stampedBy = c.claim.Stamp, c.peer
+func (k *known) takeStamp(c claim, own carawayspread.ResourceStatus) {
+	if c.of == carawayspread.ResourceRoutes && own.Version >= c.claim.Version && c.claim.StoreTime > k.stamp {
+		k.stamp, k.stampedBy = c.claim.StoreTime, c.peer
 	}
 }
 
@@ -200,10 +202,10 @@
 	if c.claim.Version <= have {
 		return false
 	}
-	return f.rota.Stale(c.of) || zone == f.zone && !f.rota.Reads() || c.of == carawayspread.MatterRoutes && have > 0
+	return f.rota.Stale(c.of) || zone == f.zone && !f.rota.Reads() || c.of == carawayspread.ResourceRoutes && have > 0
 }
 
-func (f *Follower) moved(of carawayspread.Matter) {
+func (f *Follower) moved(of carawayspread.Resource) {
 	select {
 	case f.heard[of] <- struct{}{}:
 	default:
@@ -214,14 +216,14 @@
 // ends. No matter waits for another one's transfer.
 func (f *Follower) RunPulls(ctx context.Context, asker Asker) error {
 	var running sync.WaitGroup
-	for of := range carawayspread.Matters {
+	for of := range carawayspread.ResourceCount {
 		running.Go(func() { f.runPulls(ctx, asker, of) })
 	}
 	running.Wait()
 	return ctx.Err()
 }
 
-func (f *Follower) runPulls(ctx context.Context, asker Asker, of carawayspread.Matter) {
+func (f *Follower) runPulls(ctx context.Context, asker Asker, of carawayspread.Resource) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -254,28 +256,28 @@
 
 // RunList follows the endpoints until ctx ends.
 func (f *Follower) RunList(ctx context.Context) error {
-	return f.run(ctx, carawayspread.MatterList, func() {
+	return f.run(ctx, carawayspread.ResourceEndpoints, func() {
 		begun := f.clock.Now()
-		err := f.source.Read(ctx, carawayspread.MatterList)
-		f.called(carawayspread.MatterList, begun, begun, err)
+		err := f.source.Read(ctx, carawayspread.ResourceEndpoints)
+		f.called(carawayspread.ResourceEndpoints, begun, begun, err)
 	})
 }
 
 // RunRoutes follows the routes until ctx ends.
 func (f *Follower) RunRoutes(ctx context.Context) error {
-	return f.run(ctx, carawayspread.MatterRoutes, func() {
+	return f.run(ctx, carawayspread.ResourceRoutes, func() {
 		begun := f.clock.Now()
 		if !f.rota.Reads() {
-			f.called(carawayspread.MatterRoutes, begun, begun, f.source.Read(ctx, carawayspread.MatterRoutes))
+			f.called(carawayspread.ResourceRoutes, begun, begun, f.source.Read(ctx, carawayspread.ResourceRoutes))
 			return
 		}
 		err := f.source.Watch(ctx, f.rota.Wait())
-		f.called(carawayspread.MatterRoutes, begun, f.clock.Now(), err)
+		f.called(carawayspread.ResourceRoutes, begun, f.clock.Now(), err)
 	})
 }
 
 // called takes note of a call, and tells the zone what it brought.
-func (f *Follower) called(of carawayspread.Matter, begun, asOf time.Time, err error) {
+func (f *Follower) called(of carawayspread.Resource, begun, asOf time.Time, err error) {
 	f.rota.Called(of, begun, asOf, err)
 	if err != nil {
 		return
@@ -286,7 +288,7 @@
 }
 
 // run makes the call each time that it is due.
-func (f *Follower) run(ctx context.Context, of carawayspread.Matter, call func()) error {
+func (f *Follower) run(ctx context.Context, of carawayspread.Resource, call func()) error {
 	for ctx.Err() == nil {
 		wait := f.rota.Due(of)
 		if wait <= 0 {
--- a/internal/process/follower/follower_test.go
+++ b/internal/process/follower/follower_test.go
@@ -34,7 +34,7 @@
 type store struct {
 	mu      sync.Mutex
 	ver     uint64
-	at      [carawayspread.Matters]uint64 // version of the newest change
+	at      [carawayspread.ResourceCount]uint64 // version of the newest change
 	down    bool
 	slow    time.Duration
 	calls   int
@@ -42,7 +42,7 @@
 	started time.Time
 }
 
-func (s *store) change(of carawayspread.Matter) {
+func (s *store) change(of carawayspread.Resource) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ver++
@@ -69,7 +69,7 @@
 	clock    *storetime.Clock
 
 	mu      sync.Mutex
-	have    [carawayspread.Matters]carawayspread.Claim
+	have    [carawayspread.ResourceCount]carawayspread.ResourceStatus
 	away    bool          // the store turns it away
 	deaf    bool          // hears no peer
 	mute    bool          // no peer hears it
@@ -108,37 +108,37 @@
 	return nil
 }
 
-func (n *node) Read(_ context.Context, of carawayspread.Matter) error {
+func (n *node) Read(_ context.Context, of carawayspread.Resource) error {
 	asked := n.uptime.Uptime()
 	if err := n.reach(); err != nil {
 		return err
 	}
 	s := n.w.store
 	s.mu.Lock()
-	got := carawayspread.Claim{Version: s.ver, Digest: s.at[of], Stamp: s.shows()}
-	if of == carawayspread.MatterRoutes {
+	got := carawayspread.ResourceStatus{Version: s.ver, Digest: s.at[of], StoreTime: s.shows()}
+	if of == carawayspread.ResourceRoutes {
 		got.Version = got.Digest
 	}
 	s.mu.Unlock()
-	n.clock.Observe(asked, got.Stamp)
+	n.clock.Observe(asked, got.StoreTime)
 	n.take(of, got)
 	return nil
 }
 
 func (n *node) Watch(ctx context.Context, wait time.Duration) error {
-	before := n.Have(carawayspread.MatterRoutes)
+	before := n.Have(carawayspread.ResourceRoutes)
 	for end := time.Now().Add(wait); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		n.w.store.mu.Lock()
-		changed := n.w.store.at[carawayspread.MatterRoutes] != before.Digest
+		changed := n.w.store.at[carawayspread.ResourceRoutes] != before.Digest
 		n.w.store.mu.Unlock()
 		if changed || before.Version == 0 {
 			break
 		}
 	}
-	return n.Read(ctx, carawayspread.MatterRoutes)
+	return n.Read(ctx, carawayspread.ResourceRoutes)
 }
 
-func (n *node) take(of carawayspread.Matter, got carawayspread.Claim) bool {
+func (n *node) take(of carawayspread.Resource, got carawayspread.ResourceStatus) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if got.Version < n.have[of].Version {
@@ -151,7 +151,7 @@
 	return true
 }
 
-func (n *node) Have(of carawayspread.Matter) carawayspread.Claim {
+func (n *node) Have(of carawayspread.Resource) carawayspread.ResourceStatus {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.have[of]
@@ -162,7 +162,7 @@
 func (n *node) Learn(carawayspread.Knowledge) (bool, error) { return false, nil }
 
 // Ask takes what the peer of that name holds.
-func (n *node) Ask(_ context.Context, peer string, of carawayspread.Matter) error {
+func (n *node) Ask(_ context.Context, peer string, of carawayspread.Resource) error {
 	time.Sleep(4 * time.Millisecond)
 	from := n.w.byName(peer)
 	from.mu.Lock()
@@ -188,7 +188,7 @@
 
 // say tells the peers how the process stands: all, or those of its zone and the
 // largest of each other one.
-func (n *node) say(p carawayspread.Presence, zone bool) {
+func (n *node) say(p carawayspread.PeerStatus, zone bool) {
 	n.mu.Lock()
 	mute := n.mute
 	n.mu.Unlock()
@@ -208,7 +208,7 @@
 	n.tell(p, zone)
 }
 
-func (n *node) tell(p carawayspread.Presence, zone bool) {
+func (n *node) tell(p carawayspread.PeerStatus, zone bool) {
 	for _, other := range n.w.nodes {
 		other.mu.Lock()
 		deaf := other.deaf
@@ -255,7 +255,7 @@
 // newWorld starts processes, some in each zone. The first of a zone is the
 // largest.
 func newWorld(ctx context.Context, zones, each int, keyed bool) *world {
-	w := &world{store: &store{started: time.Now(), ver: 1, at: [carawayspread.Matters]uint64{1, 1}}}
+	w := &world{store: &store{started: time.Now(), ver: 1, at: [carawayspread.ResourceCount]uint64{1, 1}}}
 	for zone := range zones {
 		for i := range each {
 			n := w.join(uint64(zone*each+i+1), fmt.Sprint("z", zone), i == 0, uint32(each-i))
@@ -297,7 +297,7 @@
 }
 
 // lacks returns the processes that do not hold the newest of a matter.
-func (w *world) lacks(of carawayspread.Matter) []string {
+func (w *world) lacks(of carawayspread.Resource) []string {
 	w.store.mu.Lock()
 	newest := w.store.at[of]
 	w.store.mu.Unlock()
@@ -414,8 +414,8 @@
 			play(t, 3, 6, func(w *world) {
 				strike(w)
 				time.Sleep(100 * time.Millisecond)
-				w.store.change(carawayspread.MatterList)
-				w.store.change(carawayspread.MatterRoutes)
+				w.store.change(carawayspread.ResourceEndpoints)
+				w.store.change(carawayspread.ResourceRoutes)
 				time.Sleep(leaving - 100*time.Millisecond)
 				var dead []string
 				for _, n := range w.nodes {
@@ -425,7 +425,7 @@
 						}
 					})
 				}
-				for of := range carawayspread.Matters {
+				for of := range carawayspread.ResourceCount {
 					qt.Check(t, w.lacks(of), qt.DeepEquals, dead, qt.Commentf("%v", of))
 				}
 			})
@@ -458,13 +458,13 @@
 		calls := w.calls(10 * time.Second)
 		t.Logf("%d calls in 10 s of an outage", calls)
 		qt.Check(t, calls <= 3*2*10*10*11/10, qt.IsTrue, qt.Commentf("%d", calls))
-		w.store.change(carawayspread.MatterList)
-		w.store.change(carawayspread.MatterRoutes)
+		w.store.change(carawayspread.ResourceEndpoints)
+		w.store.change(carawayspread.ResourceRoutes)
 		w.store.mu.Lock()
 		w.store.down = false
 		w.store.mu.Unlock()
 		time.Sleep(2 * time.Second)
-		for of := range carawayspread.Matters {
+		for of := range carawayspread.ResourceCount {
 			qt.Check(t, w.lacks(of), qt.HasLen, 0)
 		}
 		time.Sleep(2 * settle) // those that failed last leave reading to others for five seconds
@@ -480,15 +480,15 @@
 	play(t, 2, 4, func(w *world) {
 		reader := w.nodes[0]
 		before := reader.follower.Presence()
-		old := reader.Have(carawayspread.MatterList)
+		old := reader.Have(carawayspread.ResourceEndpoints)
 		reader.set(func() { reader.mute, reader.deaf, reader.away = true, true, true })
 		time.Sleep(settle)
-		w.store.change(carawayspread.MatterList)
+		w.store.change(carawayspread.ResourceEndpoints)
 		time.Sleep(leaving)
-		reader.set(func() { reader.mute, reader.deaf, reader.have[carawayspread.MatterList] = false, false, old })
+		reader.set(func() { reader.mute, reader.deaf, reader.have[carawayspread.ResourceEndpoints] = false, false, old })
 		reader.say(before, false)
 		time.Sleep(leaving)
-		qt.Check(t, w.lacks(carawayspread.MatterList), qt.HasLen, 0)
+		qt.Check(t, w.lacks(carawayspread.ResourceEndpoints), qt.HasLen, 0)
 	})
 }
 
@@ -497,19 +497,19 @@
 // and nothing true is heard beside it: it confirms nothing that is held here.
 func TestForgedVersionBlocksNothing(t *testing.T) {
 	play(t, 2, 4, func(w *world) {
-		w.store.change(carawayspread.MatterList)
-		w.store.change(carawayspread.MatterRoutes)
+		w.store.change(carawayspread.ResourceEndpoints)
+		w.store.change(carawayspread.ResourceRoutes)
 		for end := time.Now().Add(leaving); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			for _, n := range w.nodes {
 				n.set(func() { n.deaf = true })
-				forged := carawayspread.Presence{Zone: n.zone, Reads: true, Capacity: 1 << 31}
-				for of := range carawayspread.Matters {
-					forged.Claims[of] = carawayspread.Claim{Version: 1 << 60, Digest: 99}
+				forged := carawayspread.PeerStatus{Zone: n.zone, CanReadStore: true, Capacity: 1 << 31}
+				for of := range carawayspread.ResourceCount {
+					forged.Resources[of] = carawayspread.ResourceStatus{Version: 1 << 60, Digest: 99}
 				}
 				n.follower.Heard(77, w.nodes[1].name(), forged)
 			}
 		}
-		for of := range carawayspread.Matters {
+		for of := range carawayspread.ResourceCount {
 			qt.Check(t, w.lacks(of), qt.HasLen, 0)
 		}
 	})
@@ -519,16 +519,16 @@
 func TestForgedVersionOfWhatAllHold(t *testing.T) {
 	play(t, 2, 4, func(w *world) {
 		for _, n := range w.nodes {
-			forged := carawayspread.Presence{Zone: n.zone}
-			for of := range carawayspread.Matters {
-				forged.Claims[of] = carawayspread.Claim{Version: 1 << 60, Digest: n.Have(of).Digest}
+			forged := carawayspread.PeerStatus{Zone: n.zone}
+			for of := range carawayspread.ResourceCount {
+				forged.Resources[of] = carawayspread.ResourceStatus{Version: 1 << 60, Digest: n.Have(of).Digest}
 			}
 			n.follower.Heard(77, w.nodes[1].name(), forged)
 		}
-		w.store.change(carawayspread.MatterList)
-		w.store.change(carawayspread.MatterRoutes)
+		w.store.change(carawayspread.ResourceEndpoints)
+		w.store.change(carawayspread.ResourceRoutes)
 		time.Sleep(leaving)
-		for of := range carawayspread.Matters {
+		for of := range carawayspread.ResourceCount {
 			qt.Check(t, w.lacks(of), qt.HasLen, 0)
 		}
 	})
@@ -545,8 +545,8 @@
 			}
 		}
 		time.Sleep(3 * inForce)
-		w.store.change(carawayspread.MatterRoutes)
+		w.store.change(carawayspread.ResourceRoutes)
 		time.Sleep(inForce / 2)
-		qt.Check(t, w.lacks(carawayspread.MatterRoutes), qt.HasLen, 0)
+		qt.Check(t, w.lacks(carawayspread.ResourceRoutes), qt.HasLen, 0)
 	})
 }
--- a/internal/process/gateway/authenticate.go
+++ b/internal/process/gateway/authenticate.go
@@ -27,7 +27,7 @@
 
 // WithEvidence sets what bounds the age of the keys, the time in which a revoked key must
 // have stopped, zero where none is promised, and the time in which an added one must work.
-func WithEvidence(evidence carawayspread.Evidence, revoked, added time.Duration) Option {
+func WithEvidence(evidence carawayspread.ConfigFreshness, revoked, added time.Duration) Option {
 	return func(g *Gateway) {
 		g.evidence, g.access = evidence, authentication.Policy{Revoked: revoked, Added: added}
 	}
--- a/internal/process/gateway/authenticate_test.go
+++ b/internal/process/gateway/authenticate_test.go
@@ -22,7 +22,7 @@
 
 // keyed returns routes that ask for one of the keys.
 func keyed(version carawayspread.Version, keys ...string) *carawayspread.Routing {
-	return carawayspread.NewRouting(version, []*carawayspread.Route{route("never", carawayspread.RepeatNever, false, 1)},
+	return carawayspread.NewRouting(version, []*carawayspread.Route{route("never", carawayspread.RetryNever, false, 1)},
 		map[string]carawayspread.RoutedService{"s": {Name: "s"}}, carawayspread.CallerLimits{BodyBytes: 100},
 		carawayspread.WithKeyring(carawayspread.NewKeyring([]carawayspread.KeyHolder{
 			{Workspace: carawayspread.NewWorkspace("w"), Keys: keys},
@@ -48,7 +48,7 @@
 	for name, key := range map[string]string{"no key": "", "unknown key": "Bearer nobody", "good key": "Bearer good"} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t)
-			open := route("never", carawayspread.RepeatNever, false, 1)
+			open := route("never", carawayspread.RetryNever, false, 1)
 			open.Anonymous = true
 			b.gateway.Adopt(carawayspread.NewRouting(2, []*carawayspread.Route{open},
 				map[string]carawayspread.RoutedService{"s": {Name: "s"}}, carawayspread.CallerLimits{BodyBytes: 100},
@@ -76,7 +76,7 @@
 // Guards against urgency that a route has and its caller's workspace does not.
 func TestPriorityOfTheWorkspaceGoesFirst(t *testing.T) {
 	b := newBench(t)
-	b.gateway.Adopt(carawayspread.NewRouting(2, []*carawayspread.Route{route("never", carawayspread.RepeatNever, false, 1)},
+	b.gateway.Adopt(carawayspread.NewRouting(2, []*carawayspread.Route{route("never", carawayspread.RetryNever, false, 1)},
 		map[string]carawayspread.RoutedService{"s": {Name: "s"}}, carawayspread.CallerLimits{BodyBytes: 100},
 		carawayspread.WithKeyring(carawayspread.NewKeyring([]carawayspread.KeyHolder{
 			{Workspace: carawayspread.NewWorkspace("w", carawayspread.WithPriority(3)), Keys: []string{"good"}},
--- a/internal/process/gateway/call.go
+++ b/internal/process/gateway/call.go
@@ -32,7 +32,7 @@
 	line        *decisionlog.Line
 	arrived     time.Time
 	deadline    time.Time
-	ask         carawayspread.Ask
+	ask         carawayspread.RequestMetadata
 	routing     *carawayspread.Routing
 	route       *carawayspread.Route
 	workspace   carawayspread.Workspace // of the API key; zero where it is not known
@@ -72,7 +72,7 @@
 	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline)
 	defer cancel()
 	c.exclude = map[carawayspread.EndpointID]bool{}
-	c.last = c.ask.Resumed
+	c.last = c.ask.LastEventID
 	err := c.run(ctx)
 	c.forget()
 	if err == nil {
@@ -100,17 +100,17 @@
 	return errBroken
 }
 
-func (c *call) placing() carawayspread.Placing {
-	p := carawayspread.Placing{
+func (c *call) placing() carawayspread.PlacementRequest {
+	p := carawayspread.PlacementRequest{
 		Route: c.route, Service: c.service, Arrived: c.arrived, Deadline: c.deadline,
-		Exclude: c.g.backpressure.Withheld(c.exclude), Bytes: len(c.body), Key: c.fingerprint, Direct: c.direct, Owed: c.direct || c.ran > 0,
-		Late: c.ask.Left > 0 && c.ask.Left < time.Duration(lateShare*float64(c.route.Timeout)),
+		Exclude: c.g.backpressure.Withheld(c.exclude), Bytes: len(c.body), Fingerprint: c.fingerprint, SingleEndpoint: c.direct, Admitted: c.direct || c.ran > 0,
+		TargetMissed: c.ask.TimeLeft > 0 && c.ask.TimeLeft < time.Duration(lateShare*float64(c.route.Timeout)),
 	}
 	if c.service.Engine != nil {
 		p.Prompt = c.ask.Prompt
 	}
 	if c.held != nil {
-		p.Handed = c.held.From.ID()
+		p.PrefilledBy = c.held.From.ID()
 	}
 	return p
 }
@@ -129,16 +129,16 @@
 	}
 	phase := carawayspread.PhaseWhole
 	switch {
-	case at.Reads:
+	case at.PrefillOnly:
 		return c.hand(ctx, p, at)
 	case c.held != nil:
-		phase = carawayspread.PhaseContinue
+		phase = carawayspread.PhaseDecode
 	}
 	c.answer = at.Endpoint.ID()
 	stay := c.g.placer.Sent(p, at)
 	outcome := carawayspread.OutcomeFailed
 	defer func() { stay.End(outcome) }()
-	within, stop := c.patience(ctx, at, stay, c.route.Repeat == carawayspread.RepeatSafe && c.ran+1 < c.route.Attempts)
+	within, stop := c.patience(ctx, at, stay, c.route.Retry == carawayspread.RetryIdempotent && c.ran+1 < c.route.MaxAttempts)
 	defer stop()
 	sent := c.g.clock.Now()
 	reply, err := c.send(within, at, phase)
@@ -155,27 +155,27 @@
 		return c.mayRepeat(), errors.Join(errBroken, err)
 	}
 	c.arrivals++
-	verdict := c.g.protocol.Judge(reply, c.ask.ID, phase)
+	verdict := c.g.protocol.ClassifyReply(reply, c.ask.ID, phase)
 	c.feedback(at, reply, verdict, sent)
-	if verdict == carawayspread.VerdictAnswer || verdict == carawayspread.VerdictNotRun {
+	if verdict == carawayspread.ReplyAnswer || verdict == carawayspread.ReplyNotRun {
 		c.alive(at, sent)
 	}
-	if phase == carawayspread.PhaseContinue {
+	if phase == carawayspread.PhaseDecode {
 		c.held, c.direct = nil, true // a handle is taken once, whatever came of it
 	}
 	switch verdict {
-	case carawayspread.VerdictNotRun, carawayspread.VerdictStranger:
+	case carawayspread.ReplyNotRun, carawayspread.ReplyWrongEndpoint:
 		closeBody(reply)
 		outcome = carawayspread.OutcomeRefused
 		c.note(at, phase, "not run, status "+strconv.Itoa(reply.Status))
-		if verdict == carawayspread.VerdictStranger {
-			c.g.placer.Gone(at.Endpoint.ID())
+		if verdict == carawayspread.ReplyWrongEndpoint {
+			c.g.placer.MarkStale(at.Endpoint.ID())
 		}
-		if verdict == carawayspread.VerdictStranger || phase != carawayspread.PhaseContinue {
+		if verdict == carawayspread.ReplyWrongEndpoint || phase != carawayspread.PhaseDecode {
 			c.exclude[at.Endpoint.ID()] = true
 		}
 		return true, busy()
-	case carawayspread.VerdictForeign:
+	case carawayspread.ReplyInconclusive:
 		// Not read to its end, so that the connection closes: on one that is kept,
 		// the answer to this request would meet the next one.
 		_ = reply.Body.Close()
@@ -211,13 +211,13 @@
 // mayRepeat reports whether a request of which an attempt may have run can be
 // sent once more.
 func (c *call) mayRepeat() bool {
-	if c.ran >= c.route.Attempts {
+	if c.ran >= c.route.MaxAttempts {
 		return false
 	}
-	switch c.route.Repeat {
-	case carawayspread.RepeatSafe:
+	switch c.route.Retry {
+	case carawayspread.RetryIdempotent:
 		return !c.started
-	case carawayspread.RepeatResume:
+	case carawayspread.RetryResume:
 		return true
 	}
 	return false
@@ -261,21 +261,21 @@
 		bearer.Strip(h)
 	}
 	attempt := carawayspread.Attempt{
-		To: at.Endpoint, Left: c.deadline.Sub(c.g.clock.Now()), Phase: phase, Resume: c.last,
-		Priority: c.route.Priority, Fetch: at.Fetch,
+		To: at.Endpoint, TimeLeft: c.deadline.Sub(c.g.clock.Now()), Phase: phase, LastEventID: c.last,
+		Priority: c.route.Priority, FetchFrom: at.FetchFrom,
 		Workspace: c.workspace.Name(),
 	}
-	if phase == carawayspread.PhaseContinue {
+	if phase == carawayspread.PhaseDecode {
 		attempt.Handover = *c.held
 	}
-	c.g.protocol.Instruct(h, attempt)
+	c.g.protocol.SetAttemptHeaders(h, attempt)
 	return c.g.exchange.Send(ctx, at.Endpoint, carawayspread.Outbound{
 		Method: c.r.Method, Target: c.r.RequestURI, Host: c.r.Host, Header: h, Body: c.body,
 	})
 }
 
 // whole passes an answer on once all of it is there.
-func (c *call) whole(reply *carawayspread.Reply, stay carawayspread.Stay, sent time.Time) (carawayspread.Outcome, error) {
+func (c *call) whole(reply *carawayspread.Reply, stay carawayspread.AttemptTracker, sent time.Time) (carawayspread.Outcome, error) {
 	body, err := io.ReadAll(io.LimitReader(reply.Body, answerLimit))
 	_ = reply.Body.Close()
 	if err != nil {
@@ -286,7 +286,7 @@
 	outcome := carawayspread.OutcomeServed
 	if reply.Status >= http.StatusInternalServerError {
 		outcome = carawayspread.OutcomeFailed
-		if c.route.Repeat == carawayspread.RepeatSafe && c.mayRepeat() && c.g.budget(c.service.Name).Allow() {
+		if c.route.Retry == carawayspread.RetryIdempotent && c.mayRepeat() && c.g.budget(c.service.Name).Allow() {
 			c.paid = true
 			return outcome, errOwn
 		}
--- a/internal/process/gateway/end.go
+++ b/internal/process/gateway/end.go
@@ -27,7 +27,7 @@
 
 // isEnding reports whether the request is given up as the process ends.
 func (c *call) isEnding() bool {
-	return errors.Is(context.Cause(c.r.Context()), carawayspread.ErrEnding)
+	return errors.Is(context.Cause(c.r.Context()), carawayspread.ErrShutdown)
 }
 
 // fail gives the final answer to a request that has none from an endpoint.
@@ -83,7 +83,7 @@
 func (c *call) note(at carawayspread.Placement, phase carawayspread.Phase, why string) {
 	c.g.log.Write(decisionlog.Start("attempt").Text("id", c.ask.ID).Text("endpoint", string(at.Endpoint.ID())).
 		Text("request", c.same()).Text("phase", phase.String()).Text("why", why).Int("sends", int64(c.arrivals)).Int("ran", int64(c.ran)).
-		Ms("sinceMs", c.g.clock.Now().Sub(c.arrived)).Ms("expectedMs", at.First).Ms("leftMs", c.deadline.Sub(c.g.clock.Now())))
+		Ms("sinceMs", c.g.clock.Now().Sub(c.arrived)).Ms("expectedMs", at.TimeToFirstEvent).Ms("leftMs", c.deadline.Sub(c.g.clock.Now())))
 	c.g.set.GetOrCreateCounter(`gateway_failed_attempts_total{phase="` + phase.String() + `"}`).Inc()
 }
 
@@ -102,7 +102,7 @@
 	if err.Code() == carawayspread.CodeUnauthenticated {
 		c.w.Header().Set("WWW-Authenticate", bearer.Challenge)
 	}
-	c.g.protocol.Refuse(c.w, err)
+	c.g.protocol.WriteError(c.w, err)
 }
 
 // lastOfConnection asks the caller of a process that is leaving to send its next
@@ -123,11 +123,11 @@
 	took := now.Sub(c.arrived)
 	line := c.line.Text("outcome", outcome).Int("status", int64(status)).
 		Text("service", c.service.Name).Text("reader", string(c.reader)).Text("endpoint", string(c.answer)).
-		Int("sends", int64(c.arrivals)).Ms("expectedMs", c.expected.First).Ms("waitMs", c.expected.Wait).Ms("workMs", c.expected.Work).
+		Int("sends", int64(c.arrivals)).Ms("expectedMs", c.expected.TimeToFirstEvent).Ms("waitMs", c.expected.QueueTime).Ms("workMs", c.expected.PrefillTime).
 		Ms("readMs", c.reading).Ms("firstMs", c.first).Ms("pauseMs", c.pause).Ms("tookMs", took).
-		Int("found", int64(c.expected.Found)).Ms("listAgeMs", c.g.listAge())
+		Int("found", int64(c.expected.CachedTokens)).Ms("listAgeMs", c.g.listAge())
 	if c.route != nil {
-		line.Ms("targetMs", c.route.Target)
+		line.Ms("targetMs", c.route.TargetLatency)
 	}
 	if outcome == "refused" {
 		line.Text("best", string(c.expected.Endpoint.ID()))
@@ -136,10 +136,10 @@
 		line.Text("request", c.same())
 	}
 	if p := c.ask.Prompt; p != nil {
-		if chains := p.Chains(); len(chains) > 1 {
+		if chains := p.PrefixHashes(); len(chains) > 1 {
 			line.Text("prefix", strconv.FormatUint(chains[len(chains)-2], 36))
 		}
-		line.Int("tokens", int64(p.Tokens)).Int("most", int64(p.Most)).Int("hint", int64(p.Hint))
+		line.Int("tokens", int64(p.Tokens)).Int("most", int64(p.MaxOutputTokens)).Int("hint", int64(p.LengthHint))
 	}
 	c.g.log.Write(line)
 	c.g.set.GetOrCreateCounter(`gateway_requests_total{route="` + route + `",outcome="` + outcome + `"}`).Inc()
--- a/internal/process/gateway/ending_test.go
+++ b/internal/process/gateway/ending_test.go
@@ -16,7 +16,7 @@
 	"carawayspread"
 )
 
-// holding is a carawayspread.Exchange of endpoints that hold requests for ever: those of
+// holding is a carawayspread.EndpointTransport of endpoints that hold requests for ever: those of
 // the last step, after the steps before it.
 type holding struct {
 	script
@@ -104,7 +104,7 @@
 			go func() {
 				<-h.held
 				b.gateway.Leave(b.clock.Now(), b.clock.Now())
-				end(carawayspread.ErrEnding)
+				end(carawayspread.ErrShutdown)
 			}()
 			resp, body, err := b.ask(t, c.path, "body", c.headers...)
 			if c.body != "" {
@@ -143,7 +143,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		b.gateway.Leave(b.clock.Now(), b.clock.Now())
-		end(carawayspread.ErrEnding)
+		end(carawayspread.ErrShutdown)
 	}()
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/process/gateway/feedback.go
+++ b/internal/process/gateway/feedback.go
@@ -33,20 +33,20 @@
 }
 
 // feedback takes what a reply, sent for at that moment, says of its endpoint.
-func (c *call) feedback(at carawayspread.Placement, reply *carawayspread.Reply, verdict carawayspread.Verdict, sent time.Time) {
+func (c *call) feedback(at carawayspread.Placement, reply *carawayspread.Reply, verdict carawayspread.ReplyKind, sent time.Time) {
 	id := at.Endpoint.ID()
-	f, err := c.g.protocol.Feedback(reply)
+	f, err := c.g.protocol.ParseFeedback(reply)
 	if err != nil {
 		c.g.log.Write(decisionlog.Start("feedback").Text("id", c.ask.ID).Text("endpoint", string(id)).Text("error", err.Error()))
 		return
 	}
 	var changed, tell bool
 	switch {
-	case verdict == carawayspread.VerdictNotRun || verdict == carawayspread.VerdictAnswer && f.RetryAfter > 0:
+	case verdict == carawayspread.ReplyNotRun || verdict == carawayspread.ReplyAnswer && f.RetryAfter > 0:
 		changed, tell = c.g.backpressure.Refused(id, f)
-	case verdict == carawayspread.VerdictAnswer:
+	case verdict == carawayspread.ReplyAnswer:
 		changed, tell = c.g.backpressure.Answered(id, sent, f)
-	case verdict == carawayspread.VerdictForeign:
+	case verdict == carawayspread.ReplyInconclusive:
 		// What is no answer to this request may be no answer at all: the most that it
 		// can do is to have this process wait.
 		changed, _ = c.g.backpressure.Refused(id, carawayspread.Feedback{RetryAfter: f.RetryAfter})
@@ -75,11 +75,11 @@
 }
 
 // place chooses an endpoint that takes the request now.
-func (c *call) place() (p carawayspread.Placing, at carawayspread.Placement, err error) {
+func (c *call) place() (p carawayspread.PlacementRequest, at carawayspread.Placement, err error) {
 	for range mostPlacings {
 		p = c.placing()
 		at, err = c.g.placer.Place(p)
-		if c.expected.First == 0 {
+		if c.expected.TimeToFirstEvent == 0 {
 			c.expected = at
 		}
 		if err != nil {
--- a/internal/process/gateway/gateway.go
+++ b/internal/process/gateway/gateway.go
@@ -51,7 +51,7 @@
 // Gateway is an http.Handler for callers. It is safe for concurrent use.
 type Gateway struct {
 	routing    atomic.Pointer[carawayspread.Routing]
-	exchange   carawayspread.Exchange
+	exchange   carawayspread.EndpointTransport
 	protocol   carawayspread.Protocol
 	placer     carawayspread.Placer
 	clock      carawayspread.Clock
@@ -67,7 +67,7 @@
 	answered     func(fingerprint uint64)
 	leaves       atomic.Pointer[leave]
 	listAge      func() time.Duration // since the list of endpoints was confirmed
-	evidence     carawayspread.Evidence
+	evidence     carawayspread.ConfigFreshness
 	access       authentication.Policy
 	rejections   *rejections.Rejections
 	began        func(workspace string, ago time.Duration)
@@ -107,7 +107,7 @@
 func WithListAge(age func() time.Duration) Option { return func(g *Gateway) { g.listAge = age } }
 
 // New returns a gateway that holds no routes.
-func New(exchange carawayspread.Exchange, protocol carawayspread.Protocol, placer carawayspread.Placer,
+func New(exchange carawayspread.EndpointTransport, protocol carawayspread.Protocol, placer carawayspread.Placer,
 	clock carawayspread.Clock, log *decisionlog.Log, opts ...Option,
 ) *Gateway {
 	g := &Gateway{
@@ -207,7 +207,7 @@
 	}
 	takes := c.deadline.Sub(c.arrived)
 	if p := c.ask.Prompt; p != nil {
-		takes = min(takes, firstTime*c.route.Target+time.Duration(p.Most)*tokenTime)
+		takes = min(takes, firstTime*c.route.TargetLatency+time.Duration(p.MaxOutputTokens)*tokenTime)
 	}
 	return c.arrived.Add(takes + closing).Before(l.end)
 }
@@ -275,7 +275,7 @@
 // accept reads the request and finds what answers it.
 func (c *call) accept() *carawayspread.Error {
 	g := c.g
-	c.ask = g.protocol.Ask(c.r.Header)
+	c.ask = g.protocol.ParseRequest(c.r.Header)
 	c.line.Text("id", c.ask.ID)
 	if err := c.admit(); err != nil {
 		return err
@@ -292,8 +292,8 @@
 			carawayspread.NotRun(), carawayspread.RetryAfter(comeBack))
 	}
 	left := route.Timeout
-	if c.ask.Left > 0 {
-		left = min(left, c.ask.Left)
+	if c.ask.TimeLeft > 0 {
+		left = min(left, c.ask.TimeLeft)
 	}
 	c.deadline = c.arrived.Add(left)
 	if !c.ends() {
--- a/internal/process/gateway/gateway_test.go
+++ b/internal/process/gateway/gateway_test.go
@@ -31,7 +31,7 @@
 	out carawayspread.Outbound
 }
 
-// script is a carawayspread.Exchange that answers from a list.
+// script is a carawayspread.EndpointTransport that answers from a list.
 type script struct {
 	mu    sync.Mutex
 	steps []func(s sent) (*carawayspread.Reply, error)
@@ -137,10 +137,10 @@
 	lines    *bytes.Buffer // what the log wrote when it was flushed
 }
 
-func route(name string, repeat carawayspread.Repeat, stream bool, attempts int) *carawayspread.Route {
+func route(name string, repeat carawayspread.RetryPolicy, stream bool, attempts int) *carawayspread.Route {
 	return &carawayspread.Route{
 		Name: name, Host: "a.example", Prefix: "/" + name + "/", Shares: []carawayspread.Share{{Service: "s", Weight: 1}},
-		Repeat: repeat, Stream: stream, Prompt: stream, Attempts: attempts, Timeout: 8 * time.Second, Target: 300 * time.Millisecond,
+		Retry: repeat, Stream: stream, Prompt: stream, MaxAttempts: attempts, Timeout: 8 * time.Second, TargetLatency: 300 * time.Millisecond,
 	}
 }
 
@@ -153,11 +153,11 @@
 	b.gateway = New(b.exchange, wire.Protocol{}, b.placer, b.clock, b.log,
 		WithTerms(fleetbudget.Terms{Ratio: 1, Slack: 10, Window: 10 * time.Second}, func() int { return 1 }))
 	b.gateway.Adopt(carawayspread.NewRouting(1, []*carawayspread.Route{
-		route("safe", carawayspread.RepeatSafe, false, 2),
-		route("never", carawayspread.RepeatNever, false, 3),
-		route("resume", carawayspread.RepeatResume, true, 2),
-		route("once", carawayspread.RepeatNever, true, 3),
-	}, map[string]carawayspread.RoutedService{"s": {Name: "s", Engine: &carawayspread.EngineTraits{Slots: 8, KVTokens: 1e6, TokenBytes: 1}}},
+		route("safe", carawayspread.RetryIdempotent, false, 2),
+		route("never", carawayspread.RetryNever, false, 3),
+		route("resume", carawayspread.RetryResume, true, 2),
+		route("once", carawayspread.RetryNever, true, 3),
+	}, map[string]carawayspread.RoutedService{"s": {Name: "s", Engine: &carawayspread.EngineTraits{Slots: 8, KVTokens: 1e6, KVBytesPerToken: 1}}},
 		carawayspread.CallerLimits{BodyBytes: 100}))
 	b.engines(carawayspread.RoleDecode, carawayspread.RoleDecode, carawayspread.RoleDecode)
 	b.server = httptest.NewServer(b.gateway)
@@ -391,13 +391,13 @@
 // what was expected there, of what it consisted, and what the target is.
 func TestRefusalSaysWhatWasExpected(t *testing.T) {
 	b := newBench(t)
-	var behind []carawayspread.Notice
+	var behind []carawayspread.LoadUpdate
 	for i := range 3 {
 		h := fnv.New32a()
 		_, _ = fmt.Fprint(h, "w", i)
-		behind = append(behind, carawayspread.Notice{Endpoint: h.Sum32(), Running: 1, Work: 2 * time.Second})
+		behind = append(behind, carawayspread.LoadUpdate{EndpointHash: h.Sum32(), Running: 1, PrefillTime: 2 * time.Second})
 	}
-	b.placer.Heard("peer", behind)
+	b.placer.ApplyLoadUpdates("peer", behind)
 	resp, _, err := b.ask(t, "/resume/x", "text", "Carawayspread-Token-Count", "1000,10", "Carawayspread-Prefix-Hash", "a1:600,b2:400")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, resp.StatusCode, qt.Equals, http.StatusServiceUnavailable)
--- a/internal/process/gateway/hand.go
+++ b/internal/process/gateway/hand.go
@@ -12,7 +12,7 @@
 )
 
 // hand has the prompt read by one engine for another.
-func (c *call) hand(ctx context.Context, p carawayspread.Placing, at carawayspread.Placement) (again bool, err error) {
+func (c *call) hand(ctx context.Context, p carawayspread.PlacementRequest, at carawayspread.Placement) (again bool, err error) {
 	c.reader = at.Endpoint.ID()
 	stay := c.g.placer.Sent(p, at)
 	outcome := carawayspread.OutcomeFailed
@@ -20,39 +20,39 @@
 	within, stop := c.patience(ctx, at, stay, true)
 	defer stop()
 	sent := c.g.clock.Now()
-	reply, err := c.send(within, at, carawayspread.PhaseRead)
+	reply, err := c.send(within, at, carawayspread.PhasePrefill)
 	c.direct = true // unless it succeeds
 	if errors.Is(err, carawayspread.ErrUnsent) {
 		outcome = c.unsent(ctx, at)
-		c.note(at, carawayspread.PhaseRead, err.Error())
+		c.note(at, carawayspread.PhasePrefill, err.Error())
 		return ctx.Err() == nil, err
 	}
 	c.arrivals++
 	if err != nil {
 		outcome = c.broke(ctx, within, at)
-		c.note(at, carawayspread.PhaseRead, err.Error())
+		c.note(at, carawayspread.PhasePrefill, err.Error())
 		return ctx.Err() == nil, err
 	}
-	verdict := c.g.protocol.Judge(reply, c.ask.ID, carawayspread.PhaseRead)
+	verdict := c.g.protocol.ClassifyReply(reply, c.ask.ID, carawayspread.PhasePrefill)
 	c.feedback(at, reply, verdict, sent)
-	if verdict == carawayspread.VerdictAnswer {
+	if verdict == carawayspread.ReplyAnswer {
 		c.alive(at, sent)
 	}
-	if verdict == carawayspread.VerdictStranger {
-		c.g.placer.Gone(at.Endpoint.ID())
+	if verdict == carawayspread.ReplyWrongEndpoint {
+		c.g.placer.MarkStale(at.Endpoint.ID())
 	}
-	if verdict != carawayspread.VerdictAnswer || reply.Status != http.StatusOK {
+	if verdict != carawayspread.ReplyAnswer || reply.Status != http.StatusOK {
 		closeBody(reply)
 		outcome = carawayspread.OutcomeRefused
 		c.exclude[at.Endpoint.ID()] = true
-		c.note(at, carawayspread.PhaseRead, "not read, status "+strconv.Itoa(reply.Status))
+		c.note(at, carawayspread.PhasePrefill, "not read, status "+strconv.Itoa(reply.Status))
 		return true, busy()
 	}
 	body, err := io.ReadAll(io.LimitReader(reply.Body, answerLimit))
 	_ = reply.Body.Close()
 	if err == nil {
 		var handover carawayspread.Handover
-		if handover, err = c.g.protocol.Handover(body, at.Endpoint); err == nil {
+		if handover, err = c.g.protocol.ParseHandover(body, at.Endpoint); err == nil {
 			stay.Answered()
 			c.reading = c.g.clock.Now().Sub(sent)
 			outcome = carawayspread.OutcomeServed
@@ -80,7 +80,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), forgetTimeout)
 		defer cancel()
-		reply, err := c.g.exchange.Send(ctx, held.From, c.g.protocol.Forget(held))
+		reply, err := c.g.exchange.Send(ctx, held.From, c.g.protocol.ReleaseKV(held))
 		if err != nil {
 			c.g.log.Write(decisionlog.Start("forget").Text("endpoint", string(held.From.ID())).Text("error", err.Error()))
 			return
--- a/internal/process/gateway/held.go
+++ b/internal/process/gateway/held.go
@@ -29,7 +29,7 @@
 
 // patience ends the wait for the answer to an attempt that may be made again, as
 // soon as it takes long and the endpoint has stalled.
-func (c *call) patience(ctx context.Context, at carawayspread.Placement, stay carawayspread.Stay, bounded bool) (context.Context, context.CancelFunc) {
+func (c *call) patience(ctx context.Context, at carawayspread.Placement, stay carawayspread.AttemptTracker, bounded bool) (context.Context, context.CancelFunc) {
 	within, cancel := context.WithCancelCause(ctx)
 	if bounded {
 		go func() {
@@ -50,4 +50,6 @@
 }
 
 // held returns the silence after which an endpoint counts as holding a request.
-func held(at carawayspread.Placement) time.Duration { return max(heldLeast, heldFactor*at.First) }
+func held(at carawayspread.Placement) time.Duration {
+	return max(heldLeast, heldFactor*at.TimeToFirstEvent)
+}
--- a/internal/process/gateway/limit_test.go
+++ b/internal/process/gateway/limit_test.go
@@ -81,7 +81,7 @@
 			WithFeedback(func(id carawayspread.EndpointID, says carawayspread.Feedback) {
 				f.told = append(f.told, told{f.clock.Now(), n, id, says})
 			}, func() (uint64, []uint64) { return uint64(n), f.all(processes) }))
-		g.Adopt(carawayspread.NewRouting(1, []*carawayspread.Route{route("never", carawayspread.RepeatNever, false, 3)},
+		g.Adopt(carawayspread.NewRouting(1, []*carawayspread.Route{route("never", carawayspread.RetryNever, false, 3)},
 			map[string]carawayspread.RoutedService{"s": {Name: "s"}}, carawayspread.CallerLimits{BodyBytes: 100}))
 		f.gateways = append(f.gateways, g)
 	}
--- a/internal/process/gateway/stream.go
+++ b/internal/process/gateway/stream.go
@@ -24,7 +24,7 @@
 
 // stream passes an answer on event by event. What an endpoint sent of an event
 // that it did not finish never reaches the caller.
-func (c *call) stream(reply *carawayspread.Reply, stay carawayspread.Stay) (carawayspread.Outcome, error) {
+func (c *call) stream(reply *carawayspread.Reply, stay carawayspread.AttemptTracker) (carawayspread.Outcome, error) {
 	defer func() { _ = reply.Body.Close() }()
 	flush := http.NewResponseController(c.w)
 	events := openai.NewEvents(reply.Body)
