--- a/internal/process/lane/demand.go
+++ b/internal/process/lane/demand.go
@@ -41,7 +41,7 @@
 	l.demand.mu.Lock()
 	defer l.demand.mu.Unlock()
 	seconds := now.Sub(l.demand.since).Seconds()
-	result := carawayspread.Demand{Taken: now}
+	result := carawayspread.Demand{MeasuredAt: now}
 	if !l.demand.since.IsZero() && seconds > 0 {
 		for _, of := range l.demand.classes {
 			scaled := *of
@@ -61,8 +61,8 @@
 	engines := make([]carawayspread.RoleState, 0, len(known.slots))
 	for id, slot := range known.slots {
 		state := carawayspread.RoleState{Endpoint: id, Role: carawayspread.RoleBoth, Leaving: true}
-		if seen := slot.lastReport(); !seen.Taken.IsZero() {
-			state.Leaving = known.endpoints[id].Leaving() || seen.Draining || seen.Crashed || now.Sub(seen.Taken) > silentAfter
+		if seen := slot.lastReport(); !seen.MeasuredAt.IsZero() {
+			state.Leaving = known.endpoints[id].Leaving() || seen.Draining || seen.Crashed || now.Sub(seen.MeasuredAt) > silentAfter
 			state.Running = seen.Running
 			state.PrefillRate, state.DecodeRate = seen.PrefillRate, seen.DecodeRate
 			if seen.Role != "" {
--- a/internal/process/lane/lane.go
+++ b/internal/process/lane/lane.go
@@ -49,8 +49,8 @@
 	limiter carawayspread.Limiter
 	taken   atomic.Int64
 
-	mu   sync.Mutex           // serialises what the router is told of the endpoint
-	last carawayspread.Report // zero before the first report; guarded by mu
+	mu   sync.Mutex                   // serialises what the router is told of the endpoint
+	last carawayspread.EndpointReport // zero before the first report; guarded by mu
 }
 
 func (s *slot) full() bool { return s.taken.Load() >= int64(s.limiter.Limit()) }
@@ -182,7 +182,7 @@
 		delete(l.tickets, job)
 	} else if refusal := <-ready; refusal == nil {
 		// The job was chosen in the same moment: its place goes back.
-		l.finish(job, carawayspread.Served{})
+		l.finish(job, carawayspread.JobResult{})
 	}
 	return carawayspread.NewError(carawayspread.CodeDeadlineExceeded, "the caller has gone or its deadline has passed while the request was queued",
 		carawayspread.NotRun(), carawayspread.CausedBy(context.Cause(ctx)))
@@ -190,13 +190,13 @@
 
 // Finish returns the place of a job that Wait let through, with the work that
 // it took.
-func (l *Lane) Finish(job *carawayspread.Job, served carawayspread.Served) {
+func (l *Lane) Finish(job *carawayspread.Job, served carawayspread.JobResult) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.finish(job, served)
 }
 
-func (l *Lane) finish(job *carawayspread.Job, served carawayspread.Served) {
+func (l *Lane) finish(job *carawayspread.Job, served carawayspread.JobResult) {
 	if served.Took > 0 {
 		l.window.Served(l.running)
 	}
--- a/internal/process/lane/load.go
+++ b/internal/process/lane/load.go
@@ -4,7 +4,7 @@
 
 // Reported passes a load report to the router. The reports of an endpoint must
 // come in order.
-func (l *Lane) Reported(report carawayspread.Report) {
+func (l *Lane) Reported(report carawayspread.EndpointReport) {
 	slot, ok := l.fleet.Load().slots[report.Endpoint]
 	if !ok {
 		l.modules.Router.Reported(report)
@@ -15,8 +15,8 @@
 	// Failure: a load from an answer was told while this report waited here.
 	// Symptom: the router takes the report for the older one and drops it with
 	// its mark that the endpoint drains. It is dated after that load.
-	if !report.Taken.After(slot.last.Taken) {
-		report.Taken = slot.last.Taken.Add(1)
+	if !report.MeasuredAt.After(slot.last.MeasuredAt) {
+		report.MeasuredAt = slot.last.MeasuredAt.Add(1)
 	}
 	slot.last = report
 	l.modules.Router.Reported(report)
@@ -32,17 +32,17 @@
 	p.slot.mu.Lock()
 	defer p.slot.mu.Unlock()
 	now := p.lane.clock.Now()
-	if p.slot.last.Endpoint == "" || p.slot.last.Crashed || !now.After(p.slot.last.Taken) {
+	if p.slot.last.Endpoint == "" || p.slot.last.Crashed || !now.After(p.slot.last.MeasuredAt) {
 		return
 	}
 	next := p.slot.last
-	next.Taken, next.Running, next.Waiting, next.Slots = now, running, waiting, slots
+	next.MeasuredAt, next.Running, next.Waiting, next.Slots = now, running, waiting, slots
 	p.slot.last = next
 	p.lane.modules.Router.Reported(next)
 }
 
 // lastReport returns the last report; its time is zero before the first.
-func (s *slot) lastReport() carawayspread.Report {
+func (s *slot) lastReport() carawayspread.EndpointReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.last
@@ -52,7 +52,7 @@
 func (s *slot) lastSlots(unknown int) int {
 	last := s.lastReport()
 	switch {
-	case last.Taken.IsZero():
+	case last.MeasuredAt.IsZero():
 		return unknown
 	case last.Crashed || last.Draining:
 		return 0
--- a/internal/process/lane/load_test.go
+++ b/internal/process/lane/load_test.go
@@ -17,11 +17,11 @@
 // told keeps what the router would keep: the newest report.
 type told struct {
 	carawayspread.Router
-	last carawayspread.Report
+	last carawayspread.EndpointReport
 }
 
-func (r *told) Reported(report carawayspread.Report) {
-	if report.Taken.After(r.last.Taken) {
+func (r *told) Reported(report carawayspread.EndpointReport) {
+	if report.MeasuredAt.After(r.last.MeasuredAt) {
 		r.last = report
 	}
 }
@@ -33,25 +33,25 @@
 // load of an answer says nothing of roles, drains and crashes. Whatever the
 // order, the router keeps the newest word on each.
 func TestLoadOfAnswerKeepsTheReport(t *testing.T) {
-	report := carawayspread.Report{Endpoint: "a", Running: 1, Slots: 16, Role: carawayspread.RoleDecode, Models: []string{"m"}}
+	report := carawayspread.EndpointReport{Endpoint: "a", Running: 1, Slots: 16, Role: carawayspread.RoleDecode, Models: []string{"m"}}
 	loaded := report
 	loaded.Running, loaded.Waiting = 9, 2
 	draining, crashed := report, report
 	draining.Draining, crashed.Crashed = true, true
 	type step func(*Lane, *Place, time.Time)
-	tell := func(r carawayspread.Report, late time.Duration) step {
+	tell := func(r carawayspread.EndpointReport, late time.Duration) step {
 		return func(l *Lane, _ *Place, now time.Time) {
-			r.Taken = now.Add(-late)
+			r.MeasuredAt = now.Add(-late)
 			l.Reported(r)
 		}
 	}
 	answer := func(_ *Lane, p *Place, _ time.Time) { p.Loaded(9, 2, 16) }
 	tests := map[string]struct {
 		steps []step
-		want  carawayspread.Report
+		want  carawayspread.EndpointReport
 	}{
 		"load renews the report":         {[]step{tell(report, 0), answer}, loaded},
-		"load before any report":         {[]step{answer}, carawayspread.Report{}},
+		"load before any report":         {[]step{answer}, carawayspread.EndpointReport{}},
 		"crash is not cleared by a load": {[]step{tell(crashed, 0), answer}, crashed},
 		"drain waited behind a load":     {[]step{tell(report, 0), answer, tell(draining, 2*time.Second)}, draining},
 	}
@@ -73,7 +73,7 @@
 				clock.Advance(time.Second)
 				s(l, place, clock.Now())
 			}
-			router.last.Taken = time.Time{}
+			router.last.MeasuredAt = time.Time{}
 			qt.Check(t, router.last, qt.DeepEquals, test.want)
 		})
 	}
--- a/internal/process/lane/place.go
+++ b/internal/process/lane/place.go
@@ -95,7 +95,7 @@
 func (l *Lane) tryPlace(job *carawayspread.Job, tried map[carawayspread.EndpointID]bool) (*Place, bool) {
 	known := l.fleet.Load()
 	for range pickAttempts {
-		choice := l.modules.Router.Pick(job, func(id carawayspread.EndpointID) carawayspread.Standing {
+		choice := l.modules.Router.Pick(job, func(id carawayspread.EndpointID) carawayspread.Availability {
 			return l.standing(known, tried, id)
 		})
 		slot, ok := known.slots[choice.Endpoint]
@@ -109,20 +109,20 @@
 		l.modules.Ejector.Sent(choice.Endpoint)
 		return &Place{
 			lane: l, slot: slot, job: job, endpoint: known.endpoints[choice.Endpoint],
-			displaced: choice.Displaced, taken: l.clock.Now(),
+			displaced: choice.OutsideAffinity, taken: l.clock.Now(),
 		}, false
 	}
 	return nil, true
 }
 
-func (l *Lane) standing(known *fleet, tried map[carawayspread.EndpointID]bool, id carawayspread.EndpointID) carawayspread.Standing {
+func (l *Lane) standing(known *fleet, tried map[carawayspread.EndpointID]bool, id carawayspread.EndpointID) carawayspread.Availability {
 	slot, ok := known.slots[id]
 	switch {
 	case !ok || tried[id] || !l.modules.Ejector.Allowed(id):
-		return carawayspread.StandingOut
+		return carawayspread.AvailabilityExcluded
 	case slot.full():
-		return carawayspread.StandingBusy
+		return carawayspread.AvailabilityBusy
 	default:
-		return carawayspread.StandingFree
+		return carawayspread.AvailabilityFree
 	}
 }
--- a/internal/version/gatewaysettings/settings.go
+++ b/internal/version/gatewaysettings/settings.go
@@ -43,14 +43,14 @@
 // Usage is where the usage of workspaces is reported.
 type Usage struct {
 	address string // IP number and port
-	terms   carawayspread.UsageTerms
+	terms   carawayspread.UsageWindows
 }
 
 // Address returns IP number and port that take the reports.
 func (u *Usage) Address() string { return u.address }
 
 // Terms returns the windows and when their reports are due.
-func (u *Usage) Terms() carawayspread.UsageTerms { return u.terms }
+func (u *Usage) Terms() carawayspread.UsageWindows { return u.terms }
 
 // Role policies that have a meaning here: RolesAsFound changes none, and
 // RolesBalanced is the default.
--- a/roles.go
+++ b/roles.go
@@ -17,7 +17,7 @@
 	// Roles returns an account of each service whose engines have different
 	// roles. The demand is measured since the call before; there is one caller.
 	Roles() []ServiceRoles
-	// Aside keeps an engine that changes its role out of use, here and at peers,
+	// Suspend keeps an engine that changes its role out of use, here and at peers,
 	// until its entry shows another role, and no longer than d.
-	Aside(id EndpointID, d time.Duration)
+	Suspend(id EndpointID, d time.Duration)
 }
--- a/route.go
+++ b/route.go
@@ -10,14 +10,14 @@
 	"github.com/google/btree"
 )
 
-// Repeat says what may be done with a request whose attempt failed.
-type Repeat int
+// RetryPolicy says what may be done with a request whose attempt failed.
+type RetryPolicy int
 
 // Kinds of repetition. The zero value is the strictest.
 const (
-	RepeatNever  Repeat = iota // at most one attempt may run
-	RepeatResume               // a stream that may go on elsewhere after its last whole event
-	RepeatSafe                 // may run more than once
+	RetryNever      RetryPolicy = iota // at most one attempt may run
+	RetryResume                        // a stream that may go on elsewhere after its last whole event
+	RetryIdempotent                    // may run more than once
 )
 
 // Share is the part of a route's requests that one service gets.
@@ -33,33 +33,33 @@
 	Host   string
 	Prefix string  // begins and ends with a slash
 	Shares []Share // not empty
-	Repeat Repeat
+	Retry  RetryPolicy
 	Stream bool // answered by server-sent events with growing identifiers
 	Prompt bool // requests carry a prompt for an engine
 	// Anonymous routes take requests without an API key.
-	Anonymous bool
-	Attempts  int // endpoints that may run one request; at least 1
-	Priority  int // 0 is the most urgent
+	Anonymous   bool
+	MaxAttempts int // endpoints that may run one request; at least 1
+	Priority    int // 0 is the most urgent
 	// Timeout is the longest time from arrival to the final answer, or to the
 	// last event of a stream.
 	Timeout time.Duration
-	// Target is the time from arrival to the answer, or to the first event.
-	Target time.Duration
-	// Pause is the longest time between two events of an answer that is in time;
+	// TargetLatency is the time from arrival to the answer, or to the first event.
+	TargetLatency time.Duration
+	// TargetGap is the longest time between two events of an answer that is in time;
 	// zero where none is stated.
-	Pause time.Duration
+	TargetGap time.Duration
 }
 
 // EngineTraits is what operators state of the engines of a service.
 type EngineTraits struct {
-	Slots      int   // requests that one engine batches
-	KVTokens   int   // tokens that the memory of one engine holds
-	TokenBytes int   // bytes of KV cache for each token
-	LinkBits   int64 // bits a second between engines
-	Stride     int   // tokens of one event; zero where it is not stated
-	// Fetches says that an engine takes parts of prompts from another one that
+	Slots             int   // requests that one engine batches
+	KVTokens          int   // tokens that the memory of one engine holds
+	KVBytesPerToken   int   // bytes of KV cache for each token
+	LinkBitsPerSecond int64 // bits a second between engines
+	TokensPerEvent    int   // tokens of one event; zero where it is not stated
+	// FetchesKV says that an engine takes parts of prompts from another one that
 	// holds them, where it is told which.
-	Fetches bool
+	FetchesKV bool
 }
 
 // RoutedService is a service as routes name it.
--- a/exchange.go
+++ b/transport.go
@@ -12,7 +12,7 @@
 	Method string
 	Target string // path and query exactly as the caller sent them
 	Host   string
-	Header http.Header // end-to-end headers; not modified by an Exchange
+	Header http.Header // end-to-end headers; not modified by an EndpointTransport
 	Body   []byte      // not modified
 }
 
@@ -27,10 +27,10 @@
 // ErrUnsent says that no byte of the request can have reached the endpoint.
 var ErrUnsent = errors.New("nothing was sent")
 
-// Exchange is a way to an endpoint. It sends each request once: it never
+// EndpointTransport is a way to an endpoint. It sends each request once: it never
 // repeats one by itself. Cancelling the context ends the work at the endpoint
 // as far as the endpoint allows.
-type Exchange interface {
+type EndpointTransport interface {
 	// Send returns when the header of the answer is there. An error that
 	// matches ErrUnsent proves that the request has not run; any other leaves
 	// it open.
--- a/usage.go
+++ b/usage.go
@@ -58,28 +58,28 @@
 	Counts []UsageCount
 }
 
-// UsageTerms are the windows of usage and when their reports are due. They are
+// UsageWindows are the windows of usage and when their reports are due. They are
 // immutable.
-type UsageTerms struct {
+type UsageWindows struct {
 	length time.Duration
 	due    time.Duration
 }
 
 // NewUsageTerms returns the terms of windows of that length, whose reports are due so
 // long after their end. Both are positive.
-func NewUsageTerms(length, due time.Duration) UsageTerms { return UsageTerms{length, due} }
+func NewUsageTerms(length, due time.Duration) UsageWindows { return UsageWindows{length, due} }
 
 // Length returns the length of a window.
-func (t UsageTerms) Length() time.Duration { return t.length }
+func (t UsageWindows) Length() time.Duration { return t.length }
 
 // Window returns the window of a moment, given as time since the start of 1970.
-func (t UsageTerms) Window(at time.Duration) int64 { return int64(at / t.length) }
+func (t UsageWindows) Window(at time.Duration) int64 { return int64(at / t.length) }
 
 // End returns the end of a window, as time since the start of 1970.
-func (t UsageTerms) End(window int64) time.Duration { return time.Duration(window+1) * t.length }
+func (t UsageWindows) End(window int64) time.Duration { return time.Duration(window+1) * t.length }
 
 // Due returns when the report of a window is due, as time since the start of 1970.
-func (t UsageTerms) Due(window int64) time.Duration { return t.End(window) + t.due }
+func (t UsageWindows) Due(window int64) time.Duration { return t.End(window) + t.due }
 
-// Kept returns for how many windows counts are kept: until no report counts any more.
-func (t UsageTerms) Kept() int64 { return int64(t.due/t.length) + 2 }
+// RetainedWindows returns for how many windows counts are kept: until no report counts any more.
+func (t UsageWindows) RetainedWindows() int64 { return int64(t.due/t.length) + 2 }
