--- a/internal/decision/placement/affinity.go
+++ b/internal/decision/placement/affinity.go
@@ -17,7 +17,7 @@
 // affinityEngine returns the prefill engine for a prefix that no engine is known to hold: the
 // eligible one with the highest rendezvous weight. All processes compute the same weights, and an
 // engine that joins or leaves moves only its own prefixes.
-func (pool *pool) affinityEngine(now time.Time, engines []*engine, req carawayspread.Placing, chains []uint64) *engine {
+func (pool *pool) affinityEngine(now time.Time, engines []*engine, req carawayspread.PlacementRequest, chains []uint64) *engine {
 	if len(chains) < 2 {
 		return nil
 	}
--- a/internal/decision/placement/attempt.go
+++ b/internal/decision/placement/attempt.go
@@ -49,7 +49,7 @@
 )
 
 // Sent records that an attempt was sent, and notifies the peers.
-func (p *Placer) Sent(req carawayspread.Placing, at carawayspread.Placement) carawayspread.Stay {
+func (p *Placer) Sent(req carawayspread.PlacementRequest, at carawayspread.Placement) carawayspread.AttemptTracker {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.env.Clock.Now()
@@ -61,19 +61,19 @@
 		a.engine = newEngine(at.Endpoint) // it was removed from the endpoint list meanwhile
 	}
 	e := a.engine
-	notice := carawayspread.Notice{Endpoint: e.hash}
+	notice := carawayspread.LoadUpdate{EndpointHash: e.hash}
 	if req.Prompt != nil {
 		a.tokens = sequenceTokens(req.Prompt)
 		if req.Service.Engine != nil {
-			a.stride = req.Service.Engine.Stride
+			a.stride = req.Service.Engine.TokensPerEvent
 		}
-		chains := req.Prompt.Chains()
-		notice.Chains = chains[:max(0, len(chains)-1)] // no other prompt shares the last part
-		notice.Read = max(0, req.Prompt.Tokens-at.Found)
-		notice.Work = at.Work
-		e.cacheParts(notice.Chains, notice.Read+at.Fetched)
-		if a.pool != nil && at.Work > 0 {
-			a.pool.arrivedTokens += notice.Read
+		chains := req.Prompt.PrefixHashes()
+		notice.PrefixHashes = chains[:max(0, len(chains)-1)] // no other prompt shares the last part
+		notice.PrefillTokens = max(0, req.Prompt.Tokens-at.CachedTokens)
+		notice.PrefillTime = at.PrefillTime
+		e.cacheParts(notice.PrefixHashes, notice.PrefillTokens+at.FetchedTokens)
+		if a.pool != nil && at.PrefillTime > 0 {
+			a.pool.arrivedTokens += notice.PrefillTokens
 		}
 	}
 	a.priority = req.Route.Priority
@@ -81,18 +81,18 @@
 	e.unanswered = append(e.unanswered, a)
 	e.ownAttempts++
 	e.ownTokens += a.tokens
-	if at.Work > 0 {
-		a.work, a.cold, a.warm = at.Work, at.Cold, at.Warm
-		a.backlogShift, a.slowdown, a.streams = e.backlogShift, e.slowdown, !at.Reads
-		a.expectedStart, a.expectedEnd = e.addPrefill(now, at.Work)
-		a.expectedEnd = a.expectedEnd.Add(at.Fetching)
+	if at.PrefillTime > 0 {
+		a.work, a.cold, a.warm = at.PrefillTime, at.ColdPrefillTime, at.WarmPrefillTime
+		a.backlogShift, a.slowdown, a.streams = e.backlogShift, e.slowdown, !at.PrefillOnly
+		a.expectedStart, a.expectedEnd = e.addPrefill(now, at.PrefillTime)
+		a.expectedEnd = a.expectedEnd.Add(at.FetchTime)
 		e.ownPrefills++
 	}
 	if a.pool != nil {
 		a.pool.ejector.Sent(e.endpoint.ID())
 	}
 	notice.Running, notice.Tokens = e.ownAttempts, e.ownTokens
-	p.env.Tell(notice)
+	p.env.Broadcast(notice)
 	return a
 }
 
@@ -128,7 +128,7 @@
 			a.pool.seedIfDue(now)
 		}
 		if a.streams {
-			a.placer.env.Tell(carawayspread.Notice{Endpoint: a.engine.hash, Running: a.engine.ownAttempts, Tokens: a.engine.ownTokens, Late: a.unreportedLateness})
+			a.placer.env.Broadcast(carawayspread.LoadUpdate{EndpointHash: a.engine.hash, Running: a.engine.ownAttempts, Tokens: a.engine.ownTokens, PrefillDelay: a.unreportedLateness})
 			a.unreportedLateness = 0
 		}
 	}
@@ -205,5 +205,5 @@
 	if a.pool != nil {
 		a.pool.ejector.Observe(e.endpoint.ID(), 0, outcome)
 	}
-	p.env.Tell(carawayspread.Notice{Endpoint: e.hash, Running: e.ownAttempts, Tokens: e.ownTokens, Late: a.unreportedLateness})
+	p.env.Broadcast(carawayspread.LoadUpdate{EndpointHash: e.hash, Running: e.ownAttempts, Tokens: e.ownTokens, PrefillDelay: a.unreportedLateness})
 }
--- a/internal/decision/placement/candidates.go
+++ b/internal/decision/placement/candidates.go
@@ -26,7 +26,7 @@
 //
 // In a fleet of a thousand engines, scoring all of them would take half a millisecond for each
 // prompt, more than a small process can spend at its share of the requests.
-func (pool *pool) candidates(req carawayspread.Placing, chains []uint64) []*engine {
+func (pool *pool) candidates(req carawayspread.PlacementRequest, chains []uint64) []*engine {
 	n := len(pool.ordered)
 	if n <= fullScanEngines {
 		return pool.ordered
@@ -35,7 +35,7 @@
 	if len(chains) > 1 {
 		sampled = pool.affinityEngines(chains[len(chains)-2], sampled)
 	}
-	start, step := req.Key%uint64(n), float64(n)/sampledEngines
+	start, step := req.Fingerprint%uint64(n), float64(n)/sampledEngines
 	for i := range sampledEngines {
 		e := pool.ordered[(start+uint64(float64(i)*step))%uint64(n)]
 		if !slices.Contains(sampled[:min(affinityEngineCount, len(sampled))], e) {
--- a/internal/decision/placement/candidates_test.go
+++ b/internal/decision/placement/candidates_test.go
@@ -15,7 +15,7 @@
 func TestLargePoolIncludesAffinityEngines(t *testing.T) {
 	p, clock := fleetOf(1300, 0)
 	other, _ := fleetOf(1300, 0)
-	chains := testRequest(1).Prompt.Chains()
+	chains := testRequest(1).Prompt.PrefixHashes()
 	candidates := p.pools["s"].candidates(testRequest(1), chains)
 	qt.Check(t, len(candidates) <= affinityEngineCount+sampledEngines, qt.IsTrue)
 	again := other.pools["s"].candidates(testRequest(1+3*274), chains)
@@ -33,7 +33,7 @@
 	next.Arrived, next.Deadline = clock.Now(), clock.Now().Add(8*time.Second)
 	second, err := p.Place(next)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, second.Found, qt.Equals, 512+4870)
+	qt.Check(t, second.CachedTokens, qt.Equals, 512+4870)
 }
 
 // Guards against a refusal while an engine is eligible, because the sample of the request contains
@@ -42,7 +42,7 @@
 	p, clock := fleetOf(1300, 0)
 	for _, e := range p.pools["s"].ordered {
 		if e.endpoint.ID() != "w100" { // a decode engine
-			p.Aside(e.endpoint.ID(), time.Minute)
+			p.Suspend(e.endpoint.ID(), time.Minute)
 		}
 	}
 	for n := range 20 {
--- a/internal/decision/placement/engine.go
+++ b/internal/decision/placement/engine.go
@@ -135,7 +135,7 @@
 func (e *engine) prefillOnly() bool { return e.endpoint.Role() == carawayspread.RolePrefill }
 
 // cachedTokens returns how many tokens at the start of the prompt the engine is assumed to hold.
-func (e *engine) cachedTokens(parts []carawayspread.Part, chains []uint64, memory int) int {
+func (e *engine) cachedTokens(parts []carawayspread.PromptPart, chains []uint64, memory int) int {
 	sum := 0
 	for i, chain := range chains {
 		entry, ok := e.parts[chain]
--- a/internal/decision/placement/event_gap_test.go
+++ b/internal/decision/placement/event_gap_test.go
@@ -26,11 +26,11 @@
 	return f
 }
 
-func (f *gapFixture) request(tokens int) carawayspread.Placing {
-	return carawayspread.Placing{
-		Route:   &carawayspread.Route{Name: "r", Target: time.Second, Timeout: 10 * time.Second, Pause: f.gapTarget},
-		Service: carawayspread.RoutedService{Name: "s", Engine: &carawayspread.EngineTraits{Slots: 64, KVTokens: 1e6, Stride: 7}},
-		Prompt:  &carawayspread.Prompt{Tokens: tokens, Most: 100},
+func (f *gapFixture) request(tokens int) carawayspread.PlacementRequest {
+	return carawayspread.PlacementRequest{
+		Route:   &carawayspread.Route{Name: "r", TargetLatency: time.Second, Timeout: 10 * time.Second, TargetGap: f.gapTarget},
+		Service: carawayspread.RoutedService{Name: "s", Engine: &carawayspread.EngineTraits{Slots: 64, KVTokens: 1e6, TokensPerEvent: 7}},
+		Prompt:  &carawayspread.Prompt{Tokens: tokens, MaxOutputTokens: 100},
 		Arrived: f.clock.Now(), Deadline: f.clock.Now().Add(10 * time.Second),
 	}
 }
@@ -38,8 +38,8 @@
 // setLoad reports n running answers at the decode engine and a queue at the prefill engine.
 func (f *gapFixture) setLoad(n int, queue time.Duration) {
 	decode, prefill := f.placer.byHash[hashOf("answers")], f.placer.byHash[hashOf("reads")]
-	f.placer.Heard("peer", []carawayspread.Notice{
-		{Endpoint: decode.hash, Running: n, Tokens: 1000 * n}, {Endpoint: prefill.hash, Running: 1, Work: queue},
+	f.placer.ApplyLoadUpdates("peer", []carawayspread.LoadUpdate{
+		{EndpointHash: decode.hash, Running: n, Tokens: 1000 * n}, {EndpointHash: prefill.hash, Running: 1, PrefillTime: queue},
 	})
 }
 
@@ -59,10 +59,10 @@
 		t.Run(name, func(t *testing.T) {
 			f := newGapFixture(100 * time.Millisecond)
 			f.setLoad(6, c.queue)
-			f.placer.Heard("peer", []carawayspread.Notice{{Endpoint: hashOf("answers"), Running: 6, Work: 100 * time.Millisecond}})
+			f.placer.ApplyLoadUpdates("peer", []carawayspread.LoadUpdate{{EndpointHash: hashOf("answers"), Running: 6, PrefillTime: 100 * time.Millisecond}})
 			at, err := f.placer.Place(f.request(6000))
 			qt.Assert(t, err, qt.IsNil)
-			qt.Check(t, at.Reads, qt.Equals, c.prefillOnly)
+			qt.Check(t, at.PrefillOnly, qt.Equals, c.prefillOnly)
 		})
 	}
 }
@@ -91,7 +91,7 @@
 			f.setLoad(c.decodes, queue)
 			at, err := f.placer.Place(f.request(c.tokens))
 			qt.Assert(t, err, qt.IsNil)
-			qt.Check(t, at.Reads, qt.Equals, c.prefillOnly)
+			qt.Check(t, at.PrefillOnly, qt.Equals, c.prefillOnly)
 		})
 	}
 }
@@ -106,13 +106,13 @@
 		carawayspread.NewEndpoint("far", "s", "far", "10.0.0.2:1", false, carawayspread.WithRole(carawayspread.RoleDecode)),
 	})
 	req := f.request(6000)
-	req.Handed = "reads"
-	req.Service.Engine.TokenBytes, req.Service.Engine.LinkBits = 1, 6000*8*10 // takes 100 ms
+	req.PrefilledBy = "reads"
+	req.Service.Engine.KVBytesPerToken, req.Service.Engine.LinkBitsPerSecond = 1, 6000*8*10 // takes 100 ms
 	for _, c := range []struct {
 		prefill time.Duration
 		want    carawayspread.EndpointID
 	}{{0, "answers"}, {time.Second, "far"}} {
-		f.placer.Heard("peer", []carawayspread.Notice{{Endpoint: hashOf("answers"), Running: 1, Work: c.prefill}})
+		f.placer.ApplyLoadUpdates("peer", []carawayspread.LoadUpdate{{EndpointHash: hashOf("answers"), Running: 1, PrefillTime: c.prefill}})
 		at, err := f.placer.Place(req)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, at.Endpoint.ID(), qt.Equals, c.want)
@@ -136,7 +136,7 @@
 			qt.Assert(t, err, qt.IsNil)
 			f.clock.Advance(time.Second)
 			for _, engine := range f.placer.Roles()[0].Engines {
-				qt.Check(t, engine.AnswersOnly, qt.Equals, c.decodeOnly && engine.Role == carawayspread.RoleDecode)
+				qt.Check(t, engine.PrefillDelaysDecode, qt.Equals, c.decodeOnly && engine.Role == carawayspread.RoleDecode)
 			}
 		})
 	}
--- a/internal/decision/placement/fetch.go
+++ b/internal/decision/placement/fetch.go
@@ -25,7 +25,7 @@
 
 // findSources sets cachedPrefix of each eligible engine for the prompt, and returns the engines
 // that hold the most of it.
-func (pool *pool) findSources(now time.Time, engines []*engine, req carawayspread.Placing, chains []uint64) cacheSources {
+func (pool *pool) findSources(now time.Time, engines []*engine, req carawayspread.PlacementRequest, chains []uint64) cacheSources {
 	var s cacheSources
 	for _, e := range engines {
 		if !pool.eligible(now, e, req) {
@@ -51,15 +51,15 @@
 // Without it, a prefix that one engine holds is prefilled again by another while the first has a
 // queue, though a link transfers it in a tenth of the time or less.
 func (s cacheSources) fetchSource(e *engine, traits *carawayspread.EngineTraits, prefillTime time.Duration) (*engine, time.Duration) {
-	if !traits.Fetches || traits.LinkBits <= 0 || e.cachedPrefix >= s.cachedTokens {
+	if !traits.FetchesKV || traits.LinkBitsPerSecond <= 0 || e.cachedPrefix >= s.cachedTokens {
 		return nil, 0
 	}
 	source, factor := s.byZone[e.endpoint.Zone()], time.Duration(1)
 	if source == nil {
 		source, factor = s.anyZone, crossZoneFactor
 	}
-	bits := float64(s.cachedTokens-e.cachedPrefix) * float64(traits.TokenBytes) * 8
-	fetchTime := fetchSetup + factor*time.Duration(bits/float64(traits.LinkBits)*float64(time.Second))
+	bits := float64(s.cachedTokens-e.cachedPrefix) * float64(traits.KVBytesPerToken) * 8
+	fetchTime := fetchSetup + factor*time.Duration(bits/float64(traits.LinkBitsPerSecond)*float64(time.Second))
 	if fetchTime >= prefillTime {
 		return nil, 0
 	}
--- a/internal/decision/placement/leaving_test.go
+++ b/internal/decision/placement/leaving_test.go
@@ -20,20 +20,20 @@
 			carawayspread.NewEndpoint("b", "s", "z", "10.0.0.2:1", false),
 		}
 	}
-	var notices []carawayspread.Notice
-	informed := New(carawayspread.Environment{Clock: clock, Zone: "z", Tell: func(n carawayspread.Notice) { notices = append(notices, n) }})
+	var notices []carawayspread.LoadUpdate
+	informed := New(carawayspread.Environment{Clock: clock, Zone: "z", Broadcast: func(n carawayspread.LoadUpdate) { notices = append(notices, n) }})
 	uninformed := New(carawayspread.Environment{Clock: clock, Zone: "z"})
 	informed.SetEndpoints("s", list(false))
 	uninformed.SetEndpoints("s", list(false))
 	qt.Check(t, notices, qt.HasLen, 0)
 	informed.SetEndpoints("s", list(true))
-	uninformed.Heard("knows", notices)
-	req := carawayspread.Placing{
-		Route: &carawayspread.Route{Name: "r", Target: time.Second}, Service: carawayspread.RoutedService{Name: "s"},
+	uninformed.ApplyLoadUpdates("knows", notices)
+	req := carawayspread.PlacementRequest{
+		Route: &carawayspread.Route{Name: "r", TargetLatency: time.Second}, Service: carawayspread.RoutedService{Name: "s"},
 		Arrived: clock.Now(), Deadline: clock.Now().Add(time.Minute),
 	}
 	for key := range uint64(8) {
-		req.Key = key
+		req.Fingerprint = key
 		at, err := uninformed.Place(req)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, at.Endpoint.ID(), qt.Equals, carawayspread.EndpointID("b"))
@@ -41,13 +41,13 @@
 	notices = nil
 	informed.SetEndpoints("s", list(true))
 	qt.Check(t, notices, qt.HasLen, 0, qt.Commentf("once"))
-	uninformed.env.Tell = func(n carawayspread.Notice) { notices = append(notices, n) }
+	uninformed.env.Broadcast = func(n carawayspread.LoadUpdate) { notices = append(notices, n) }
 	uninformed.SetEndpoints("s", list(true))
 	qt.Check(t, notices, qt.HasLen, 0, qt.Commentf("peers have been notified already"))
 	clock.Advance(leavingDuration)
 	uninformed.SetEndpoints("s", list(false))
 	for key := range uint64(8) {
-		req.Key = key
+		req.Fingerprint = key
 		if at, err := uninformed.Place(req); err == nil && at.Endpoint.ID() == "a" {
 			return
 		}
--- a/internal/decision/placement/load.go
+++ b/internal/decision/placement/load.go
@@ -74,14 +74,14 @@
 }
 
 // set replaces a peer's load at an endpoint and returns the previous one.
-func (l *loads) set(p *peer, n carawayspread.Notice) load {
-	before, next := p.loads[n.Endpoint], load{n.Running, n.Tokens}
+func (l *loads) set(p *peer, n carawayspread.LoadUpdate) load {
+	before, next := p.loads[n.EndpointHash], load{n.Running, n.Tokens}
 	if next == (load{}) {
-		delete(p.loads, n.Endpoint)
+		delete(p.loads, n.EndpointHash)
 	} else {
-		p.loads[n.Endpoint] = next
+		p.loads[n.EndpointHash] = next
 	}
-	l.add(n.Endpoint, next.minus(before))
+	l.add(n.EndpointHash, next.minus(before))
 	return before
 }
 
--- a/internal/decision/placement/placer.go
+++ b/internal/decision/placement/placer.go
@@ -120,8 +120,8 @@
 
 // New returns a placer without endpoints.
 func New(env carawayspread.Environment) *Placer {
-	if env.Tell == nil {
-		env.Tell = func(carawayspread.Notice) {}
+	if env.Broadcast == nil {
+		env.Broadcast = func(carawayspread.LoadUpdate) {}
 	}
 	return &Placer{env: env, pools: map[string]*pool{}, byHash: map[uint32]*engine{}, loads: newLoads(), fairness: map[string]*fairness{}}
 }
@@ -152,7 +152,7 @@
 			e = newEngine(endpoint)
 		}
 		if endpoint.Leaving() && !e.endpoint.Leaving() && !e.unavailableUntil.After(now) {
-			p.env.Tell(carawayspread.Notice{Endpoint: e.hash, Running: e.ownAttempts, Tokens: e.ownTokens, Aside: leavingDuration})
+			p.env.Broadcast(carawayspread.LoadUpdate{EndpointHash: e.hash, Running: e.ownAttempts, Tokens: e.ownTokens, SuspendedFor: leavingDuration})
 		}
 		e.update(endpoint)
 		e.maxParts = max(1, min(maxPartsPerEngine, maxPartsPerService/len(endpoints)))
@@ -173,7 +173,7 @@
 }
 
 // Place chooses an endpoint, or returns the refusal of the request.
-func (p *Placer) Place(req carawayspread.Placing) (carawayspread.Placement, error) {
+func (p *Placer) Place(req carawayspread.PlacementRequest) (carawayspread.Placement, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.env.Clock.Now()
@@ -222,32 +222,32 @@
 }
 
 // Heard applies the notices of a peer.
-func (p *Placer) Heard(sender string, notices []carawayspread.Notice) {
+func (p *Placer) ApplyLoadUpdates(sender string, notices []carawayspread.LoadUpdate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.env.Clock.Now()
 	from := p.loads.touch(now, sender)
 	for _, n := range notices {
 		before := p.loads.set(from, n)
-		e := p.byHash[n.Endpoint]
+		e := p.byHash[n.EndpointHash]
 		if e == nil {
 			continue
 		}
 		if n.Running < before.running {
 			e.lastProgress = now
 		}
-		if n.Work > 0 {
-			e.addPrefill(now, n.Work)
+		if n.PrefillTime > 0 {
+			e.addPrefill(now, n.PrefillTime)
 			if pool := p.pools[e.endpoint.Service()]; pool != nil {
-				pool.arrivedTokens += n.Read
+				pool.arrivedTokens += n.PrefillTokens
 			}
 		}
-		e.shiftBacklog(max(-maxPeerCorrection, min(maxPeerCorrection, n.Late)))
-		if n.Aside > 0 {
-			e.unavailableUntil = later(e.unavailableUntil, now.Add(min(n.Aside, maxPeerUnavailable)))
+		e.shiftBacklog(max(-maxPeerCorrection, min(maxPeerCorrection, n.PrefillDelay)))
+		if n.SuspendedFor > 0 {
+			e.unavailableUntil = later(e.unavailableUntil, now.Add(min(n.SuspendedFor, maxPeerUnavailable)))
 		}
-		if n.Read > 0 || len(n.Chains) > 0 {
-			e.cacheParts(n.Chains, n.Read)
+		if n.PrefillTokens > 0 || len(n.PrefixHashes) > 0 {
+			e.cacheParts(n.PrefixHashes, n.PrefillTokens)
 		}
 	}
 }
--- a/internal/decision/placement/plain.go
+++ b/internal/decision/placement/plain.go
@@ -7,10 +7,10 @@
 )
 
 // placePlain chooses the endpoint of a plain service with the lowest expected latency.
-func (p *Placer) placePlain(now time.Time, pool *pool, req carawayspread.Placing) (carawayspread.Placement, error) {
+func (p *Placer) placePlain(now time.Time, pool *pool, req carawayspread.PlacementRequest) (carawayspread.Placement, error) {
 	var best *engine
 	var bestFirst, bestCost, soon time.Duration
-	for e := range rotated(pool.ordered, req.Key) {
+	for e := range rotated(pool.ordered, req.Fingerprint) {
 		if !pool.eligible(now, e, req) {
 			continue
 		}
@@ -34,7 +34,7 @@
 	if now.Add(bestFirst).After(req.Deadline) {
 		return carawayspread.Placement{}, p.overloaded(bestFirst)
 	}
-	return carawayspread.Placement{Endpoint: best.endpoint, First: bestFirst}, nil
+	return carawayspread.Placement{Endpoint: best.endpoint, TimeToFirstEvent: bestFirst}, nil
 }
 
 // queueFactor returns the expected latency of an answer at an endpoint with so many running,
--- a/internal/decision/placement/plain_test.go
+++ b/internal/decision/placement/plain_test.go
@@ -22,9 +22,9 @@
 	p.SetEndpoints("s", []carawayspread.Endpoint{
 		carawayspread.NewEndpoint("w", "s", "z", "10.0.0.1:1", false, carawayspread.WithSlots(slots)),
 	})
-	req := carawayspread.Placing{Route: &carawayspread.Route{Name: "r", Target: 300 * time.Millisecond}, Service: carawayspread.RoutedService{Name: "s"}}
+	req := carawayspread.PlacementRequest{Route: &carawayspread.Route{Name: "r", TargetLatency: 300 * time.Millisecond}, Service: carawayspread.RoutedService{Name: "s"}}
 	type running struct {
-		attempt  carawayspread.Stay
+		attempt  carawayspread.AttemptTracker
 		sent     time.Time
 		ends     time.Time
 		expected time.Duration
@@ -49,7 +49,7 @@
 		}
 		all = unfinished
 		total++
-		req.Arrived, req.Deadline, req.Key = now, now.Add(600*time.Millisecond), rand.Uint64()
+		req.Arrived, req.Deadline, req.Fingerprint = now, now.Add(600*time.Millisecond), rand.Uint64()
 		at, err := p.Place(req)
 		if err != nil {
 			refused++
@@ -62,7 +62,7 @@
 			}
 		}
 		free[first] = later(now, free[first]).Add(serviceTime)
-		all = append(all, running{p.Sent(req, at), now, free[first], at.First})
+		all = append(all, running{p.Sent(req, at), now, free[first], at.TimeToFirstEvent})
 		if total == 200 { // the endpoint pauses, so that there is a queue from here on
 			for slot := range free {
 				free[slot] = free[slot].Add(150 * time.Millisecond)
--- a/internal/decision/placement/pool.go
+++ b/internal/decision/placement/pool.go
@@ -98,9 +98,9 @@
 }
 
 // observePrompt updates the gap targets and mean lengths with the request.
-func (pool *pool) observePrompt(req carawayspread.Placing) {
-	if req.Route.Pause > 0 && pool.gapTargets[req.Route.Name] != req.Route.Pause {
-		pool.gapTargets[req.Route.Name] = req.Route.Pause
+func (pool *pool) observePrompt(req carawayspread.PlacementRequest) {
+	if req.Route.TargetGap > 0 && pool.gapTargets[req.Route.Name] != req.Route.TargetGap {
+		pool.gapTargets[req.Route.Name] = req.Route.TargetGap
 		pool.minGapTarget = 0
 		for _, target := range pool.gapTargets {
 			if pool.minGapTarget == 0 || target < pool.minGapTarget {
@@ -108,7 +108,7 @@
 			}
 		}
 	}
-	pool.stride = req.Service.Engine.Stride
+	pool.stride = req.Service.Engine.TokensPerEvent
 	if pool.meanPromptTokens == 0 {
 		pool.meanPromptTokens = float64(req.Prompt.Tokens)
 	}
@@ -203,6 +203,6 @@
 }
 
 // eligible reports whether the engine may get the request.
-func (pool *pool) eligible(now time.Time, e *engine, req carawayspread.Placing) bool {
+func (pool *pool) eligible(now time.Time, e *engine, req carawayspread.PlacementRequest) bool {
 	return !e.unavailableUntil.After(now) && !e.endpoint.Leaving() && !req.Exclude[e.endpoint.ID()] && pool.ejector.Allowed(e.endpoint.ID())
 }
--- a/internal/decision/placement/prompt.go
+++ b/internal/decision/placement/prompt.go
@@ -22,8 +22,8 @@
 	cold, warm time.Duration
 }
 
-func (p *Placer) placePrompt(now time.Time, pool *pool, req carawayspread.Placing) (carawayspread.Placement, error) {
-	chains := req.Prompt.Chains()
+func (p *Placer) placePrompt(now time.Time, pool *pool, req carawayspread.PlacementRequest) (carawayspread.Placement, error) {
+	chains := req.Prompt.PrefixHashes()
 	pool.observePrompt(req)
 	engines := pool.candidates(req, chains)
 	best, ok := p.best(now, pool, engines, req, chains)
@@ -34,25 +34,25 @@
 	if !ok {
 		return carawayspread.Placement{}, noEndpoint()
 	}
-	if req.Handed != "" {
-		return carawayspread.Placement{Endpoint: best.engine.endpoint, First: best.first}, nil
+	if req.PrefilledBy != "" {
+		return carawayspread.Placement{Endpoint: best.engine.endpoint, TimeToFirstEvent: best.first}, nil
 	}
 	at := carawayspread.Placement{
-		Endpoint: best.engine.endpoint, Reads: best.prefillOnly, First: best.first, Found: best.cachedTokens,
-		Work: best.work, Wait: best.engine.wait(now),
-		Fetching: best.fetchTime, Fetched: best.cachedTokens - best.engine.cachedPrefix,
-		Cold: best.cold, Warm: best.warm,
+		Endpoint: best.engine.endpoint, PrefillOnly: best.prefillOnly, TimeToFirstEvent: best.first, CachedTokens: best.cachedTokens,
+		PrefillTime: best.work, QueueTime: best.engine.wait(now),
+		FetchTime: best.fetchTime, FetchedTokens: best.cachedTokens - best.engine.cachedPrefix,
+		ColdPrefillTime: best.cold, WarmPrefillTime: best.warm,
 	}
 	if best.fetchSource != nil {
-		at.Fetch = &best.fetchSource.endpoint
+		at.FetchFrom = &best.fetchSource.endpoint
 	}
 	return at, p.admit(now, req, best)
 }
 
 // best returns the choice with the lowest cost among the engines.
-func (p *Placer) best(now time.Time, pool *pool, engines []*engine, req carawayspread.Placing, chains []uint64) (choice, bool) {
+func (p *Placer) best(now time.Time, pool *pool, engines []*engine, req carawayspread.PlacementRequest, chains []uint64) (choice, bool) {
 	decode, canDecode := p.bestDecode(now, pool, engines, req)
-	if req.Handed != "" {
+	if req.PrefilledBy != "" {
 		return decode, canDecode
 	}
 	sources := pool.findSources(now, engines, req, chains)
@@ -63,8 +63,8 @@
 		missPrice = time.Duration(affinityMissPrice * float64(sharedTokens(req.Prompt)) * float64(recomputePrice))
 	}
 	var best choice
-	for e := range rotated(engines, req.Key) {
-		if !pool.eligible(now, e, req) || e.prefillOnly() && (req.Direct || !canDecode) {
+	for e := range rotated(engines, req.Fingerprint) {
+		if !pool.eligible(now, e, req) || e.prefillOnly() && (req.SingleEndpoint || !canDecode) {
 			continue
 		}
 		l := p.load(now, e)
@@ -90,7 +90,7 @@
 
 // evaluate returns the choice of one engine, with its time to the first event and its cost. An
 // engine that only prefills hands the KV cache over to the engine of decode.
-func (p *Placer) evaluate(now time.Time, pool *pool, e *engine, l load, sources cacheSources, decode choice, req carawayspread.Placing) choice {
+func (p *Placer) evaluate(now time.Time, pool *pool, e *engine, l load, sources cacheSources, decode choice, req carawayspread.PlacementRequest) choice {
 	cached := e.cachedPrefix
 	work := e.prefillTime(req.Prompt.Tokens, cached, l.running)
 	fetchedWork := e.prefillTime(req.Prompt.Tokens, sources.cachedTokens, l.running)
@@ -125,8 +125,8 @@
 // A prefill beside decodes puts a chunk between any two steps, so that each event takes several
 // times as long. If only running answers counted, the next prompt would cost nothing where one is
 // prefilled already, and engines that decode would prefill for as long as the load lasts.
-func (pool *pool) gapPenalty(now time.Time, e *engine, running int, work time.Duration, req carawayspread.Placing) time.Duration {
-	limit, stride := pool.gapLimit(), req.Service.Engine.Stride
+func (pool *pool) gapPenalty(now time.Time, e *engine, running int, work time.Duration, req carawayspread.PlacementRequest) time.Duration {
+	limit, stride := pool.gapLimit(), req.Service.Engine.TokensPerEvent
 	if limit == 0 || running == 0 {
 		return 0
 	}
@@ -138,16 +138,16 @@
 	if e.eventGap(running, stride, wait, req.Prompt.Tokens) <= limit {
 		late += float64(running)
 	}
-	return time.Duration(late * float64(req.Route.Target))
+	return time.Duration(late * float64(req.Route.TargetLatency))
 }
 
 // admit refuses a request that would be too late to be worth its engine time.
-func (p *Placer) admit(now time.Time, req carawayspread.Placing, best choice) error {
+func (p *Placer) admit(now time.Time, req carawayspread.PlacementRequest, best choice) error {
 	first := best.first
 	if now.Add(first).After(req.Deadline) {
 		return p.overloaded(first)
 	}
-	if req.Owed {
+	if req.Admitted {
 		return nil
 	}
 	fair := p.fairness[req.Route.Name]
@@ -155,10 +155,10 @@
 		fair = &fairness{}
 		p.fairness[req.Route.Name] = fair
 	}
-	target, unqueued := float64(req.Route.Target), float64(best.unqueued)
+	target, unqueued := float64(req.Route.TargetLatency), float64(best.unqueued)
 	var allowed time.Duration
 	var kind int
-	if req.Late {
+	if req.TargetMissed {
 		kind = fair.kind(weightedTokens(req.Prompt))
 		allowed = time.Duration(max(lateTargetTolerance*target, (1+lateQueueTolerance+fair.extraTolerance(kind))*unqueued))
 	} else {
@@ -173,18 +173,18 @@
 }
 
 // bestDecode returns the engine with the lowest cost for decoding from a transferred KV cache.
-func (p *Placer) bestDecode(now time.Time, pool *pool, engines []*engine, req carawayspread.Placing) (choice, bool) {
+func (p *Placer) bestDecode(now time.Time, pool *pool, engines []*engine, req carawayspread.PlacementRequest) (choice, bool) {
 	var best choice
 	zone := p.env.Zone
-	if source := pool.engines[req.Handed]; source != nil {
+	if source := pool.engines[req.PrefilledBy]; source != nil {
 		zone = source.endpoint.Zone()
 	}
 	traits := req.Service.Engine
 	var transferTime time.Duration
-	if traits.LinkBits > 0 {
-		transferTime = time.Duration(float64(req.Prompt.Tokens) * float64(traits.TokenBytes) * 8 / float64(traits.LinkBits) * float64(time.Second))
+	if traits.LinkBitsPerSecond > 0 {
+		transferTime = time.Duration(float64(req.Prompt.Tokens) * float64(traits.KVBytesPerToken) * 8 / float64(traits.LinkBitsPerSecond) * float64(time.Second))
 	}
-	for e := range rotated(engines, req.Key) {
+	for e := range rotated(engines, req.Fingerprint) {
 		if e.prefillOnly() || !pool.eligible(now, e, req) {
 			continue
 		}
@@ -203,9 +203,9 @@
 			cost += crossZonePrice
 			linkPrice *= crossZoneTransferFactor
 		}
-		cost += min(linkPrice, time.Duration(maxTransferPrice*float64(req.Route.Target)))
-		if limit := pool.gapLimit(); limit > 0 && e.eventGap(l.running, traits.Stride, e.wait(now), req.Prompt.Tokens) > limit {
-			cost += req.Route.Target // it would be late by an event gap
+		cost += min(linkPrice, time.Duration(maxTransferPrice*float64(req.Route.TargetLatency)))
+		if limit := pool.gapLimit(); limit > 0 && e.eventGap(l.running, traits.TokensPerEvent, e.wait(now), req.Prompt.Tokens) > limit {
+			cost += req.Route.TargetLatency // it would be late by an event gap
 		}
 		cost += first
 		if best.engine == nil || cost < best.cost {
@@ -216,7 +216,7 @@
 }
 
 // crossZoneCost prices the bytes of a request that go to another availability zone.
-func (p *Placer) crossZoneCost(e *engine, req carawayspread.Placing) time.Duration {
+func (p *Placer) crossZoneCost(e *engine, req carawayspread.PlacementRequest) time.Duration {
 	if e.endpoint.Zone() == p.env.Zone {
 		return 0
 	}
@@ -224,7 +224,7 @@
 }
 
 // decodeCost prices the answer after its first event.
-func (p *Placer) decodeCost(now time.Time, e *engine, running int, req carawayspread.Placing) time.Duration {
+func (p *Placer) decodeCost(now time.Time, e *engine, running int, req carawayspread.PlacementRequest) time.Duration {
 	decodeTime := time.Duration(sequenceTokens(req.Prompt)-req.Prompt.Tokens) * e.interTokenLatency(now, running)
 	price := time.Duration(decodePrice * float64(decodeTime))
 	if over := decodeTime - time.Duration(maxDecodeShare*float64(req.Deadline.Sub(now))); over > 0 {
@@ -234,7 +234,7 @@
 }
 
 // fits reports whether the engine has a free slot and enough KV memory for the request.
-func fits(l load, e *engine, req carawayspread.Placing) bool {
+func fits(l load, e *engine, req carawayspread.PlacementRequest) bool {
 	traits := req.Service.Engine
 	slots := max(1, e.endpoint.Slots())
 	if e.endpoint.Slots() == 0 {
@@ -249,9 +249,9 @@
 // sequenceTokens returns the tokens of a request in an engine's KV memory: its prompt and its
 // expected output.
 func sequenceTokens(prompt *carawayspread.Prompt) int {
-	output := prompt.Most
-	if prompt.Hint > 0 {
-		output = min(output, prompt.Hint)
+	output := prompt.MaxOutputTokens
+	if prompt.LengthHint > 0 {
+		output = min(output, prompt.LengthHint)
 	}
 	return prompt.Tokens + output
 }
--- a/internal/decision/placement/replay_test.go
+++ b/internal/decision/placement/replay_test.go
@@ -105,14 +105,14 @@
 	newPlacer, _ := carawayspread.Placers.Get(name)
 	for n := range processes {
 		env := carawayspread.Environment{Clock: r.clock, Zone: "z0", Rand: rand.New(rand.NewPCG(3, uint64(n)))}
-		env.Tell = func(notice carawayspread.Notice) {
+		env.Broadcast = func(notice carawayspread.LoadUpdate) {
 			if !r.gossip {
 				return
 			}
 			r.after(2*time.Millisecond, func() {
 				for other, placer := range r.placers {
 					if other != n {
-						placer.Heard(fmt.Sprint(n), []carawayspread.Notice{notice})
+						placer.ApplyLoadUpdates(fmt.Sprint(n), []carawayspread.LoadUpdate{notice})
 					}
 				}
 			})
@@ -172,25 +172,25 @@
 	r.place(placer, p, req)
 }
 
-func (r *replay) placing(p pattern) carawayspread.Placing {
-	prompt := &carawayspread.Prompt{Tokens: p.tokens, Most: 20, Parts: []carawayspread.Part{
+func (r *replay) placing(p pattern) carawayspread.PlacementRequest {
+	prompt := &carawayspread.Prompt{Tokens: p.tokens, MaxOutputTokens: 20, Parts: []carawayspread.PromptPart{
 		{ID: uint64(r.rand.IntN(max(1, p.prefixes))) + uint64(p.tokens)<<20, Tokens: p.shared}, {ID: r.rand.Uint64(), Tokens: p.tokens - p.shared},
 	}}
-	return carawayspread.Placing{
-		Route:   &carawayspread.Route{Target: p.target},
-		Service: carawayspread.RoutedService{Name: "s", Engine: &carawayspread.EngineTraits{Slots: 64, KVTokens: 1e6, TokenBytes: 1}},
-		Prompt:  prompt, Arrived: r.clock.Now(), Deadline: r.clock.Now().Add(8 * time.Second), Bytes: p.bytes, Key: r.rand.Uint64(),
+	return carawayspread.PlacementRequest{
+		Route:   &carawayspread.Route{TargetLatency: p.target},
+		Service: carawayspread.RoutedService{Name: "s", Engine: &carawayspread.EngineTraits{Slots: 64, KVTokens: 1e6, KVBytesPerToken: 1}},
+		Prompt:  prompt, Arrived: r.clock.Now(), Deadline: r.clock.Now().Add(8 * time.Second), Bytes: p.bytes, Fingerprint: r.rand.Uint64(),
 	}
 }
 
-func (r *replay) place(placer carawayspread.Placer, p pattern, req carawayspread.Placing) {
+func (r *replay) place(placer carawayspread.Placer, p pattern, req carawayspread.PlacementRequest) {
 	at, err := placer.Place(req)
 	if refusal, refused := carawayspread.AsError(err); refused {
-		if req.Late {
+		if req.TargetMissed {
 			r.refused++
 			return
 		}
-		req.Late = true // the caller retries once, after the given delay
+		req.TargetMissed = true // the caller retries once, after the given delay
 		r.after(refusal.RetryAfter(), func() { r.place(placer, p, req) })
 		return
 	}
@@ -200,9 +200,9 @@
 		r.crossZone++
 	}
 	sent := placer.Sent(req, at)
-	chain := req.Prompt.Chains()[0]
+	chain := req.Prompt.PrefixHashes()[0]
 	took := 5 * time.Millisecond
-	if req.Handed == "" {
+	if req.PrefilledBy == "" {
 		uncached := p.tokens
 		if cachedAt, ok := e.cachedAt[chain]; ok && now.Sub(cachedAt) < modelCacheTTL {
 			uncached -= p.shared
@@ -216,7 +216,7 @@
 		}
 		e.cachedAt[chain] = now
 		work := time.Duration(float64(uncached)*e.slowdown) * modelTimePerToken
-		if !at.Reads {
+		if !at.PrefillOnly {
 			work *= 2
 		}
 		e.freeAt = later(now, e.freeAt).Add(work)
@@ -225,13 +225,13 @@
 	r.after(took, func() {
 		sent.Answered()
 		sent.End(carawayspread.OutcomeServed)
-		if at.Reads {
-			req.Handed = at.Endpoint.ID()
+		if at.PrefillOnly {
+			req.PrefilledBy = at.Endpoint.ID()
 			r.place(placer, p, req)
 			return
 		}
 		waited := r.clock.Now().Sub(req.Arrived)
-		if !req.Late {
+		if !req.TargetMissed {
 			r.worstWait = max(r.worstWait, waited)
 		}
 		if waited <= p.target {
@@ -310,7 +310,7 @@
 	_, err := r.placers[0].Place(r.placing(huge))
 	qt.Check(t, err, qt.IsNil, qt.Commentf("no other load"))
 	late := r.placing(huge)
-	late.Late = true
+	late.TargetMissed = true
 	_, err = r.placers[0].Place(late)
 	qt.Check(t, err, qt.IsNil, qt.Commentf("refused before, no other load"))
 	busy := short
@@ -332,7 +332,7 @@
 	qt.Check(t, r.worstWait < overload.target*3/2, qt.IsTrue, qt.Commentf("requests admitted at first submission are answered soon"))
 	qt.Check(t, r.refused > r.total/5, qt.IsTrue)
 	qt.Check(t, float64(r.inTime)/float64(admitted) > 0.8, qt.IsTrue)
-	_, err := r.placers[0].Place(carawayspread.Placing{Service: carawayspread.RoutedService{Name: "none"}})
+	_, err := r.placers[0].Place(carawayspread.PlacementRequest{Service: carawayspread.RoutedService{Name: "none"}})
 	refusal, ok := carawayspread.AsError(err)
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Check(t, refusal.NotRun(), qt.IsTrue)
@@ -446,9 +446,9 @@
 	p := r.placers[0].(*Placer)
 	e := p.pools["s"].engines["w0"]
 	e.addPrefill(r.clock.Now(), time.Second)
-	p.Heard("peer", []carawayspread.Notice{{Endpoint: e.hash, Late: time.Hour}})
+	p.ApplyLoadUpdates("peer", []carawayspread.LoadUpdate{{EndpointHash: e.hash, PrefillDelay: time.Hour}})
 	qt.Check(t, e.wait(r.clock.Now()), qt.Equals, time.Second+maxBacklogCorrection)
-	p.Heard("peer", []carawayspread.Notice{{Endpoint: e.hash, Late: -time.Hour}})
+	p.ApplyLoadUpdates("peer", []carawayspread.LoadUpdate{{EndpointHash: e.hash, PrefillDelay: -time.Hour}})
 	qt.Check(t, e.wait(r.clock.Now()), qt.Equals, time.Second)
 }
 
@@ -462,7 +462,7 @@
 	now := r.clock.Now()
 	start, end := e.addPrefill(now, time.Second)
 	a := &attempt{placer: p, engine: e, sentAt: now, expectedStart: start, expectedEnd: end, backlogShift: e.backlogShift, slowdown: e.slowdown}
-	p.Heard("peer", []carawayspread.Notice{{Endpoint: e.hash, Late: 200 * time.Millisecond}})
+	p.ApplyLoadUpdates("peer", []carawayspread.LoadUpdate{{EndpointHash: e.hash, PrefillDelay: 200 * time.Millisecond}})
 	qt.Check(t, e.expectedEnd(a), qt.Equals, end.Add(200*time.Millisecond))
 	qt.Check(t, e.wait(now), qt.Equals, 1200*time.Millisecond)
 }
--- a/internal/decision/placement/roles.go
+++ b/internal/decision/placement/roles.go
@@ -63,7 +63,7 @@
 		state := carawayspread.RoleState{
 			Endpoint: id, Role: e.endpoint.Role(), Changing: e.unavailableUntil.After(now),
 			Leaving: e.endpoint.Leaving() || !pool.ejector.Allowed(id), Running: running,
-			AnswersOnly: !e.prefillOnly() && !pool.toleratesPrefill(e, running),
+			PrefillDelaysDecode: !e.prefillOnly() && !pool.toleratesPrefill(e, running),
 		}
 		if e.prefillOnly() {
 			prefillEngines++
@@ -78,23 +78,23 @@
 	if prefillEngines == 0 || since <= 0 {
 		return s, false
 	}
-	s.Demand = carawayspread.Demand{Taken: now, Classes: []carawayspread.ClassDemand{{
+	s.Demand = carawayspread.Demand{MeasuredAt: now, Classes: []carawayspread.ClassDemand{{
 		PrefillTokens: float64(arrived) / since.Seconds(),
 	}}}
 	return s, true
 }
 
 // Gone implements carawayspread.Placer.
-func (p *Placer) Gone(id carawayspread.EndpointID) { p.Aside(id, staleEntryDuration) }
+func (p *Placer) MarkStale(id carawayspread.EndpointID) { p.Suspend(id, staleEntryDuration) }
 
 // Aside implements carawayspread.RoleSource.
-func (p *Placer) Aside(id carawayspread.EndpointID, d time.Duration) {
+func (p *Placer) Suspend(id carawayspread.EndpointID, d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, pool := range p.pools {
 		if e := pool.engines[id]; e != nil {
 			e.unavailableUntil = later(e.unavailableUntil, p.env.Clock.Now().Add(d))
-			p.env.Tell(carawayspread.Notice{Endpoint: e.hash, Running: e.ownAttempts, Tokens: e.ownTokens, Aside: d})
+			p.env.Broadcast(carawayspread.LoadUpdate{EndpointHash: e.hash, Running: e.ownAttempts, Tokens: e.ownTokens, SuspendedFor: d})
 		}
 	}
 }
--- a/internal/decision/placement/stalled_test.go
+++ b/internal/decision/placement/stalled_test.go
@@ -16,9 +16,9 @@
 // attempts that overtake do not count.
 func TestQueuedAttemptIsNotStalledWhileEngineProgresses(t *testing.T) {
 	const slow = 500 * time.Millisecond
-	start := func(t *testing.T, n, urgent int) (*gapFixture, []carawayspread.Stay) {
+	start := func(t *testing.T, n, urgent int) (*gapFixture, []carawayspread.AttemptTracker) {
 		f := newGapFixture(0)
-		var attempts []carawayspread.Stay
+		var attempts []carawayspread.AttemptTracker
 		for i := range n {
 			req := f.request(100)
 			req.Route.Priority = 1
@@ -45,7 +45,7 @@
 	t.Run("a peer's queue", func(t *testing.T) {
 		f, attempts := start(t, 1, 0)
 		for running := range 4 {
-			f.placer.Heard("peer", []carawayspread.Notice{{Endpoint: hashOf("reads"), Running: 5 - running}})
+			f.placer.ApplyLoadUpdates("peer", []carawayspread.LoadUpdate{{EndpointHash: hashOf("reads"), Running: 5 - running}})
 			qt.Check(t, attempts[0].Stalled(), qt.IsFalse)
 			f.clock.Advance(slow)
 		}
