--- a/internal/decision/placement/affinity.go
+++ b/internal/decision/placement/affinity.go
@@ -17,11 +17,11 @@
 // affinityEngine returns the prefill engine for a prefix that no engine is known to hold: the
 // eligible one with the highest rendezvous weight. All processes compute the same weights, and an
 // engine that joins or leaves moves only its own prefixes.
-func (pool *pool) affinityEngine(now time.Time, engines []*engine, req carawayspread.PlacementRequest, chains []uint64) *engine {
-	if len(chains) < 2 {
+func (pool *pool) affinityEngine(now time.Time, engines []*engine, req carawayspread.PlacementRequest, prefixHashes []uint64) *engine {
+	if len(prefixHashes) < 2 {
 		return nil
 	}
-	prefix := chains[len(chains)-2]
+	prefix := prefixHashes[len(prefixHashes)-2]
 	var best *engine
 	var highest uint64
 	for _, e := range engines {
--- a/internal/decision/placement/affinity_test.go
+++ b/internal/decision/placement/affinity_test.go
@@ -97,10 +97,10 @@
 				req := placing(prefix, 2*time.Second)
 				at, err := p.Place(req)
 				qt.Assert(t, err, qt.IsNil)
-				sent := p.Sent(req, at)
+				tracker := p.Sent(req, at)
 				clock.Advance(initialDelay + prefillEngine.prefillTime(prefixTokens+1000, c.held, 0))
-				sent.Answered()
-				sent.End(carawayspread.OutcomeServed)
+				tracker.Answered()
+				tracker.End(carawayspread.OutcomeServed)
 				clock.Advance(time.Second)
 			}
 			at, err := p.Place(placing(100, 2*time.Second))
--- a/internal/decision/placement/attempt.go
+++ b/internal/decision/placement/attempt.go
@@ -13,24 +13,24 @@
 	pool               *pool
 	engine             *engine
 	tokens             int
-	work               time.Duration
+	prefillTime        time.Duration
 	sentAt             time.Time
 	expectedStart      time.Time     // of the prefill, as expected when it was sent
 	expectedEnd        time.Time     // of the prefill, as expected when it was sent
 	backlogShift       time.Duration // of the engine when it was sent
 	slowdown           float64       // of the engine when it was sent
 	unreportedLateness time.Duration // backlog correction from its answer that peers have not been sent
-	stride             int           // tokens of one event; zero if not configured
+	tokensPerEvent     int           // tokens of one event; zero if not configured
 	lastEvent          time.Time     // time of the last event
 	priority           int           // of the route; 0 is the most urgent
 	overtaken          int           // attempts sent later, not more urgent, that have their answer
 	answered           bool
-	// cold and warm are the work with nothing and with all cached of a shared prefix that no engine
-	// was known to hold; zero if one was.
-	cold, warm  time.Duration
-	queueFactor float64 // of a plain service: expected latency relative to that without a queue
-	streams     bool    // the answer continues after its first event
-	ended       bool
+	// coldPrefillTime and warmPrefillTime are the prefill time with nothing and with all cached of
+	// a shared prefix that no engine was known to hold; zero if one was.
+	coldPrefillTime, warmPrefillTime time.Duration
+	queueFactor                      float64 // of a plain service: expected latency relative to that without a queue
+	streams                          bool    // the answer continues after its first event
+	ended                            bool
 }
 
 const (
@@ -38,7 +38,7 @@
 	// stalled: engines and networks reorder two attempts, not three.
 	maxOvertaken = 2
 	// minSilence is how long an endpoint may show no progress at all, or silenceFactor times the
-	// expected work of the attempt if that is longer.
+	// expected prefill time of the attempt if that is longer.
 	//
 	// With a timeout of a multiple of the expected time, attempts in a long queue were given up and
 	// restarted at the end of another queue: two in five prefills at a peak were wasted. An
@@ -61,19 +61,19 @@
 		a.engine = newEngine(at.Endpoint) // it was removed from the endpoint list meanwhile
 	}
 	e := a.engine
-	notice := carawayspread.LoadUpdate{EndpointHash: e.hash}
+	update := carawayspread.LoadUpdate{EndpointHash: e.hash}
 	if req.Prompt != nil {
 		a.tokens = sequenceTokens(req.Prompt)
 		if req.Service.Engine != nil {
-			a.stride = req.Service.Engine.TokensPerEvent
+			a.tokensPerEvent = req.Service.Engine.TokensPerEvent
 		}
-		chains := req.Prompt.PrefixHashes()
-		notice.PrefixHashes = chains[:max(0, len(chains)-1)] // no other prompt shares the last part
-		notice.PrefillTokens = max(0, req.Prompt.Tokens-at.CachedTokens)
-		notice.PrefillTime = at.PrefillTime
-		e.cacheParts(notice.PrefixHashes, notice.PrefillTokens+at.FetchedTokens)
+		hashes := req.Prompt.PrefixHashes()
+		update.PrefixHashes = hashes[:max(0, len(hashes)-1)] // no other prompt shares the last part
+		update.PrefillTokens = max(0, req.Prompt.Tokens-at.CachedTokens)
+		update.PrefillTime = at.PrefillTime
+		e.cacheParts(update.PrefixHashes, update.PrefillTokens+at.FetchedTokens)
 		if a.pool != nil && at.PrefillTime > 0 {
-			a.pool.arrivedTokens += notice.PrefillTokens
+			a.pool.arrivedTokens += update.PrefillTokens
 		}
 	}
 	a.priority = req.Route.Priority
@@ -82,7 +82,7 @@
 	e.ownAttempts++
 	e.ownTokens += a.tokens
 	if at.PrefillTime > 0 {
-		a.work, a.cold, a.warm = at.PrefillTime, at.ColdPrefillTime, at.WarmPrefillTime
+		a.prefillTime, a.coldPrefillTime, a.warmPrefillTime = at.PrefillTime, at.ColdPrefillTime, at.WarmPrefillTime
 		a.backlogShift, a.slowdown, a.streams = e.backlogShift, e.slowdown, !at.PrefillOnly
 		a.expectedStart, a.expectedEnd = e.addPrefill(now, at.PrefillTime)
 		a.expectedEnd = a.expectedEnd.Add(at.FetchTime)
@@ -91,19 +91,19 @@
 	if a.pool != nil {
 		a.pool.ejector.Sent(e.endpoint.ID())
 	}
-	notice.Running, notice.Tokens = e.ownAttempts, e.ownTokens
-	p.env.Broadcast(notice)
+	update.Running, update.Tokens = e.ownAttempts, e.ownTokens
+	p.env.Broadcast(update)
 	return a
 }
 
-// attributableWork returns the work that a measured prefill time is compared with. If no engine was
-// known to hold the prefix, any time between warm and cold shows how much of it was cached and says
-// nothing about the engine's slowdown.
-func (a *attempt) attributableWork(measured time.Duration) time.Duration {
-	if a.cold == 0 {
-		return a.work
-	}
-	return max(a.warm, min(a.cold, measured))
+// attributablePrefillTime returns the expected time that a measured prefill time is compared with.
+// If no engine was known to hold the prefix, any time between the warm and the cold one shows how
+// much of it was cached and says nothing about the engine's slowdown.
+func (a *attempt) attributablePrefillTime(measured time.Duration) time.Duration {
+	if a.coldPrefillTime == 0 {
+		return a.prefillTime
+	}
+	return max(a.warmPrefillTime, min(a.coldPrefillTime, measured))
 }
 
 // Answered learns from the time to the first event.
@@ -118,7 +118,7 @@
 	a.engine.lastProgress = now
 	a.removeUnanswered(true)
 	a.lastEvent = now
-	if a.work > 0 {
+	if a.prefillTime > 0 {
 		a.engine.ownPrefills--
 		if a.pool != nil {
 			a.pool.learnHitRate(now, a)
@@ -141,10 +141,10 @@
 	now := a.placer.env.Clock.Now()
 	last := a.lastEvent
 	a.lastEvent, a.engine.lastProgress = now, now
-	if a.stride == 0 || last.IsZero() {
+	if a.tokensPerEvent == 0 || last.IsZero() {
 		return
 	}
-	a.engine.learnStepTime(last, now, a.stride, a.placer.load(now, a.engine).running)
+	a.engine.learnStepTime(last, now, a.tokensPerEvent, a.placer.load(now, a.engine).running)
 }
 
 // removeUnanswered removes the attempt from the unanswered ones. If it has its answer, it has
@@ -168,7 +168,7 @@
 	a.placer.mu.Lock()
 	defer a.placer.mu.Unlock()
 	silence := a.placer.env.Clock.Now().Sub(later(a.sentAt, a.engine.lastProgress))
-	return a.overtaken > maxOvertaken || silence >= max(minSilence, silenceFactor*a.work)
+	return a.overtaken > maxOvertaken || silence >= max(minSilence, silenceFactor*a.prefillTime)
 }
 
 // End releases what the attempt holds and learns from its outcome.
@@ -185,11 +185,11 @@
 	a.removeUnanswered(false)
 	e.ownAttempts--
 	e.ownTokens -= a.tokens
-	if a.work > 0 && !a.answered {
+	if a.prefillTime > 0 && !a.answered {
 		// Its prefill no longer counts in the backlog, unless it has ended by now.
 		e.ownPrefills--
 		if remaining := e.expectedEnd(a).Sub(now); remaining > 0 && e.busyUntil.After(now) {
-			e.busyUntil = e.busyUntil.Add(-min(remaining, a.work))
+			e.busyUntil = e.busyUntil.Add(-min(remaining, a.prefillTime))
 		}
 	}
 	if a.tokens == 0 && outcome == carawayspread.OutcomeServed {
@@ -200,7 +200,7 @@
 		e.meanLatency += time.Duration(plainLearningRate * float64(took-e.meanLatency))
 	}
 	if outcome == carawayspread.OutcomeUnreachable {
-		e.unavailableUntil = later(e.unavailableUntil, now.Add(unreachableDuration))
+		e.suspendedUntil = later(e.suspendedUntil, now.Add(unreachableSuspension))
 	}
 	if a.pool != nil {
 		a.pool.ejector.Observe(e.endpoint.ID(), 0, outcome)
--- a/internal/decision/placement/candidates.go
+++ b/internal/decision/placement/candidates.go
@@ -13,8 +13,8 @@
 	// sampledEngines is how many engines of a larger pool are scored, spread evenly over the pool,
 	// in addition to the affinity engines of the prompt's prefix. A sample of this size contains
 	// engines that are as free as the best of the pool, and different requests sample different
-	// engines, so that processes that have not received each other's notices yet do not choose the
-	// same engine.
+	// engines, so that processes that have not received each other's load updates yet do not choose
+	// the same engine.
 	sampledEngines = 48
 	// affinityEngineCount is how many engines may come to hold a prefix in a larger pool: the first
 	// one and, while earlier ones have queues, the next.
@@ -26,14 +26,14 @@
 //
 // In a fleet of a thousand engines, scoring all of them would take half a millisecond for each
 // prompt, more than a small process can spend at its share of the requests.
-func (pool *pool) candidates(req carawayspread.PlacementRequest, chains []uint64) []*engine {
+func (pool *pool) candidates(req carawayspread.PlacementRequest, prefixHashes []uint64) []*engine {
 	n := len(pool.ordered)
 	if n <= fullScanEngines {
 		return pool.ordered
 	}
 	sampled := pool.candidateBuffer[:0]
-	if len(chains) > 1 {
-		sampled = pool.affinityEngines(chains[len(chains)-2], sampled)
+	if len(prefixHashes) > 1 {
+		sampled = pool.affinityEngines(prefixHashes[len(prefixHashes)-2], sampled)
 	}
 	start, step := req.Fingerprint%uint64(n), float64(n)/sampledEngines
 	for i := range sampledEngines {
--- a/internal/decision/placement/candidates_test.go
+++ b/internal/decision/placement/candidates_test.go
@@ -15,10 +15,10 @@
 func TestLargePoolIncludesAffinityEngines(t *testing.T) {
 	p, clock := fleetOf(1300, 0)
 	other, _ := fleetOf(1300, 0)
-	chains := testRequest(1).Prompt.PrefixHashes()
-	candidates := p.pools["s"].candidates(testRequest(1), chains)
+	prefixHashes := testRequest(1).Prompt.PrefixHashes()
+	candidates := p.pools["s"].candidates(testRequest(1), prefixHashes)
 	qt.Check(t, len(candidates) <= affinityEngineCount+sampledEngines, qt.IsTrue)
-	again := other.pools["s"].candidates(testRequest(1+3*274), chains)
+	again := other.pools["s"].candidates(testRequest(1+3*274), prefixHashes)
 	for i := range affinityEngineCount {
 		qt.Check(t, candidates[i].prefillOnly(), qt.IsTrue)
 		qt.Check(t, candidates[i].endpoint.ID(), qt.Equals, again[i].endpoint.ID())
--- a/internal/decision/placement/cost_test.go
+++ b/internal/decision/placement/cost_test.go
@@ -11,8 +11,8 @@
 	"carawayspread"
 )
 
-// fleetOf returns a placer that has received notices from many peers about as many engines, a third
-// of them prefill engines.
+// fleetOf returns a placer that has received load updates from many peers about as many engines, a
+// third of them prefill engines.
 func fleetOf(engines, peers int) (*Placer, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	p := New(carawayspread.Environment{Clock: clock, Zone: "z0", Rand: rand.New(rand.NewPCG(1, 2))})
@@ -27,11 +27,11 @@
 	}
 	p.SetEndpoints("s", all)
 	for peer := range peers {
-		var notices []carawayspread.LoadUpdate
+		var updates []carawayspread.LoadUpdate
 		for n := range 5 {
-			notices = append(notices, carawayspread.LoadUpdate{EndpointHash: hashOf(all[(peer*5+n)%engines].ID()), Running: 1, Tokens: 4000})
+			updates = append(updates, carawayspread.LoadUpdate{EndpointHash: hashOf(all[(peer*5+n)%engines].ID()), Running: 1, Tokens: 4000})
 		}
-		p.ApplyLoadUpdates(fmt.Sprint(peer), notices)
+		p.ApplyLoadUpdates(fmt.Sprint(peer), updates)
 	}
 	return p, clock
 }
@@ -58,9 +58,9 @@
 				req.Arrived, req.Deadline = clock.Now(), clock.Now().Add(8*time.Second)
 				at, err := p.Place(req)
 				if err == nil {
-					stay := p.Sent(req, at)
-					stay.Answered()
-					stay.End(carawayspread.OutcomeServed)
+					tracker := p.Sent(req, at)
+					tracker.Answered()
+					tracker.End(carawayspread.OutcomeServed)
 				}
 				clock.Advance(5 * time.Millisecond)
 			}
--- a/internal/decision/placement/engine.go
+++ b/internal/decision/placement/engine.go
@@ -98,25 +98,25 @@
 	busyUntil time.Time // when the known prefills end; in the past if none is queued
 	// backlogShift sums the corrections that answers have made to busyUntil. Ends expected before a
 	// correction move with it.
-	backlogShift     time.Duration
-	slowdown         float64 // prefill time relative to the nominal one
-	delay            time.Duration
-	learnedAt        time.Time     // when an answer last updated slowdown and delay; zero for never
-	stepSlowdown     float64       // step time relative to the nominal one
-	medianSlowdown   float64       // of the prefill engines; the least slowdown of chunks beside decodes
-	ownAttempts      int           // running attempts of this process
-	ownTokens        int           // tokens of prompts and outputs of ownAttempts
-	ownPrefills      int           // prefills of this process without an answer
-	recentPrefill    time.Duration // time spent on prefill, decaying over utilizationWindow, as of recentPrefillAt
-	recentPrefillAt  time.Time
-	insertedTokens   int64 // tokens that have entered the KV memory
-	parts            map[uint64]cacheEntry
-	maxParts         int           // bound of parts; at least 1
-	meanLatency      time.Duration // of whole answers; plain services only
-	cachedPrefix     int           // cached tokens of the prompt that is being placed
-	lastProgress     time.Time     // when an answer or event last came, or a peer's count of attempts fell
-	unanswered       []*attempt    // attempts of this process without an answer, oldest first
-	unavailableUntil time.Time     // no requests until then: it changes its role, leaves, is replaced or unreachable
+	backlogShift    time.Duration
+	slowdown        float64 // prefill time relative to the nominal one
+	delay           time.Duration
+	learnedAt       time.Time     // when an answer last updated slowdown and delay; zero for never
+	stepSlowdown    float64       // step time relative to the nominal one
+	medianSlowdown  float64       // of the prefill engines; the least slowdown of chunks beside decodes
+	ownAttempts     int           // running attempts of this process
+	ownTokens       int           // tokens of prompts and outputs of ownAttempts
+	ownPrefills     int           // prefills of this process without an answer
+	recentPrefill   time.Duration // time spent on prefill, decaying over utilizationWindow, as of recentPrefillAt
+	recentPrefillAt time.Time
+	insertedTokens  int64 // tokens that have entered the KV memory
+	parts           map[uint64]cacheEntry
+	maxParts        int           // bound of parts; at least 1
+	meanLatency     time.Duration // of whole answers; plain services only
+	cachedPrefix    int           // cached tokens of the prompt that is being placed
+	lastProgress    time.Time     // when an answer or event last came, or a peer's count of attempts fell
+	unanswered      []*attempt    // attempts of this process without an answer, oldest first
+	suspendedUntil  time.Time     // no requests until then: it changes its role, leaves, is replaced or unreachable
 }
 
 func newEngine(endpoint carawayspread.Endpoint) *engine {
@@ -127,7 +127,7 @@
 // reset.
 func (e *engine) update(endpoint carawayspread.Endpoint) {
 	if endpoint.Role() != e.endpoint.Role() {
-		e.slowdown, e.delay, e.learnedAt, e.unavailableUntil = 1, initialDelay, time.Time{}, time.Time{}
+		e.slowdown, e.delay, e.learnedAt, e.suspendedUntil = 1, initialDelay, time.Time{}, time.Time{}
 	}
 	e.endpoint = endpoint
 }
@@ -135,10 +135,10 @@
 func (e *engine) prefillOnly() bool { return e.endpoint.Role() == carawayspread.RolePrefill }
 
 // cachedTokens returns how many tokens at the start of the prompt the engine is assumed to hold.
-func (e *engine) cachedTokens(parts []carawayspread.PromptPart, chains []uint64, memory int) int {
+func (e *engine) cachedTokens(parts []carawayspread.PromptPart, prefixHashes []uint64, memory int) int {
 	sum := 0
-	for i, chain := range chains {
-		entry, ok := e.parts[chain]
+	for i, hash := range prefixHashes {
+		entry, ok := e.parts[hash]
 		if !ok || e.insertedTokens-entry.position > int64(float64(memory)*usableCacheShare) {
 			break
 		}
@@ -151,10 +151,10 @@
 func (e *engine) wait(now time.Time) time.Duration { return max(0, e.busyUntil.Sub(now)) }
 
 // addPrefill appends a prefill to the backlog and returns its expected start and end.
-func (e *engine) addPrefill(now time.Time, work time.Duration) (start, end time.Time) {
+func (e *engine) addPrefill(now time.Time, prefillTime time.Duration) (start, end time.Time) {
 	start = later(now, e.busyUntil)
-	e.busyUntil = start.Add(work)
-	e.recentPrefill = e.decayedPrefill(now) + work
+	e.busyUntil = start.Add(prefillTime)
+	e.recentPrefill = e.decayedPrefill(now) + prefillTime
 	e.recentPrefillAt = now
 	return start, e.busyUntil
 }
@@ -178,18 +178,18 @@
 // eventGap returns the longest expected time between two events of the answers that run at the
 // engine, with the given prefill time pending there for prompts of about so many tokens: a chunk
 // runs between any two steps of an event until all prompts are prefilled.
-func (e *engine) eventGap(running, stride int, pending time.Duration, tokens int) time.Duration {
+func (e *engine) eventGap(running, tokensPerEvent int, pending time.Duration, tokens int) time.Duration {
 	pairs := time.Duration(int64(prefillChunk) * int64(tokens) / 1000)
 	chunk := mixedPrefillFactor * (prefillChunk*prefillPerToken + pairs*prefillPerThousandPairs)
-	chunks := time.Duration(float64(stride) * float64(chunk) * max(e.slowdown, e.medianSlowdown))
-	return time.Duration(stride)*e.stepTime(running) + min(pending, chunks)
+	chunks := time.Duration(float64(tokensPerEvent) * float64(chunk) * max(e.slowdown, e.medianSlowdown))
+	return time.Duration(tokensPerEvent)*e.stepTime(running) + min(pending, chunks)
 }
 
 // learnStepTime updates the step slowdown from the time between two events of an answer, if no
 // prefill ran between them.
-func (e *engine) learnStepTime(from, to time.Time, stride, running int) {
+func (e *engine) learnStepTime(from, to time.Time, tokensPerEvent, running int) {
 	if !e.busyUntil.After(from) {
-		measured := min(maxSlowdown, float64(to.Sub(from))/float64(stride)/float64(nominalStepTime(running)))
+		measured := min(maxSlowdown, float64(to.Sub(from))/float64(tokensPerEvent)/float64(nominalStepTime(running)))
 		e.stepSlowdown += stepLearningRate * (measured - e.stepSlowdown)
 	}
 }
@@ -224,10 +224,10 @@
 }
 
 // cacheParts marks the parts as held and adds the tokens that enter the KV memory.
-func (e *engine) cacheParts(chains []uint64, tokens int) {
+func (e *engine) cacheParts(prefixHashes []uint64, tokens int) {
 	e.insertedTokens += int64(tokens)
-	for _, chain := range chains {
-		e.parts[chain] = cacheEntry{position: e.insertedTokens}
+	for _, hash := range prefixHashes {
+		e.parts[hash] = cacheEntry{position: e.insertedTokens}
 	}
 	if len(e.parts) > e.maxParts {
 		e.prune()
@@ -241,9 +241,9 @@
 		oldest = min(oldest, entry.position)
 	}
 	middle := oldest + (e.insertedTokens-oldest)/2
-	for chain, entry := range e.parts {
+	for hash, entry := range e.parts {
 		if entry.position <= middle {
-			delete(e.parts, chain)
+			delete(e.parts, hash)
 		}
 	}
 }
@@ -257,14 +257,14 @@
 // prefills made every engine look slow to every process (0.709 instead of 0.740 of the answers
 // owed, with 117 engines).
 func (e *engine) learnFromPrefill(now time.Time, a *attempt) time.Duration {
-	work := a.expectedEnd.Sub(a.expectedStart)
-	modelError := time.Duration(modelErrorShare * float64(work+e.delay))
+	prefillTime := a.expectedEnd.Sub(a.expectedStart)
+	modelError := time.Duration(modelErrorShare * float64(prefillTime+e.delay))
 	lateness := now.Sub(e.expectedEnd(a)) - e.delay
 	if a.expectedStart.Sub(a.sentAt) < maxUnqueuedWait {
-		attributed := a.attributableWork(now.Sub(a.expectedStart) - e.delay)
+		attributed := a.attributablePrefillTime(now.Sub(a.expectedStart) - e.delay)
 		e.learn(now, min(now.Sub(a.expectedStart), (1+maxRelativeError)*(attributed+e.delay)), float64(attributed)/a.slowdown)
 	} else if a.pool != nil {
-		e.learnFromQueued(now, a.pool.excessLag(e.prefillOnly(), float64(lateness)/float64(work)))
+		e.learnFromQueued(now, a.pool.excessLag(e.prefillOnly(), float64(lateness)/float64(prefillTime)))
 	}
 	lateness -= max(-modelError, min(modelError, lateness))
 	correction := time.Duration(backlogLearningRate * float64(max(-maxBacklogCorrection, min(maxBacklogCorrection, lateness))))
--- a/internal/decision/placement/event_gap_test.go
+++ b/internal/decision/placement/event_gap_test.go
@@ -149,16 +149,16 @@
 	req := f.request(100)
 	at, err := f.placer.Place(req)
 	qt.Assert(t, err, qt.IsNil)
-	sent := f.placer.Sent(req, at)
+	tracker := f.placer.Sent(req, at)
 	f.clock.Advance(time.Second)
-	sent.Answered()
+	tracker.Answered()
 	e := f.placer.byHash[hashOf(at.Endpoint.ID())]
 	before := e.eventGap(4, 7, 0, 100)
 	for range 100 {
 		f.clock.Advance(50 * time.Millisecond)
-		sent.Event()
+		tracker.Event()
 	}
 	qt.Check(t, e.eventGap(1, 7, 0, 100) > 45*time.Millisecond, qt.IsTrue)
 	qt.Check(t, before < 30*time.Millisecond, qt.IsTrue)
-	sent.End(carawayspread.OutcomeServed)
+	tracker.End(carawayspread.OutcomeServed)
 }
--- a/internal/decision/placement/fetch.go
+++ b/internal/decision/placement/fetch.go
@@ -25,13 +25,13 @@
 
 // findSources sets cachedPrefix of each eligible engine for the prompt, and returns the engines
 // that hold the most of it.
-func (pool *pool) findSources(now time.Time, engines []*engine, req carawayspread.PlacementRequest, chains []uint64) cacheSources {
+func (pool *pool) findSources(now time.Time, engines []*engine, req carawayspread.PlacementRequest, prefixHashes []uint64) cacheSources {
 	var s cacheSources
 	for _, e := range engines {
 		if !pool.eligible(now, e, req) {
 			continue
 		}
-		e.cachedPrefix = e.cachedTokens(req.Prompt.Parts, chains, req.Service.Engine.KVTokens)
+		e.cachedPrefix = e.cachedTokens(req.Prompt.Parts, prefixHashes, req.Service.Engine.KVTokens)
 		if !e.prefillOnly() {
 			continue
 		}
@@ -50,7 +50,7 @@
 //
 // Without it, a prefix that one engine holds is prefilled again by another while the first has a
 // queue, though a link transfers it in a tenth of the time or less.
-func (s cacheSources) fetchSource(e *engine, traits *carawayspread.EngineTraits, prefillTime time.Duration) (*engine, time.Duration) {
+func (s cacheSources) fetchSource(e *engine, traits *carawayspread.EngineTraits, savedTime time.Duration) (*engine, time.Duration) {
 	if !traits.FetchesKV || traits.LinkBitsPerSecond <= 0 || e.cachedPrefix >= s.cachedTokens {
 		return nil, 0
 	}
@@ -60,7 +60,7 @@
 	}
 	bits := float64(s.cachedTokens-e.cachedPrefix) * float64(traits.KVBytesPerToken) * 8
 	fetchTime := fetchSetup + factor*time.Duration(bits/float64(traits.LinkBitsPerSecond)*float64(time.Second))
-	if fetchTime >= prefillTime {
+	if fetchTime >= savedTime {
 		return nil, 0
 	}
 	return source, fetchTime
--- a/internal/decision/placement/leaving_test.go
+++ b/internal/decision/placement/leaving_test.go
@@ -20,14 +20,14 @@
 			carawayspread.NewEndpoint("b", "s", "z", "10.0.0.2:1", false),
 		}
 	}
-	var notices []carawayspread.LoadUpdate
-	informed := New(carawayspread.Environment{Clock: clock, Zone: "z", Broadcast: func(n carawayspread.LoadUpdate) { notices = append(notices, n) }})
+	var updates []carawayspread.LoadUpdate
+	informed := New(carawayspread.Environment{Clock: clock, Zone: "z", Broadcast: func(n carawayspread.LoadUpdate) { updates = append(updates, n) }})
 	uninformed := New(carawayspread.Environment{Clock: clock, Zone: "z"})
 	informed.SetEndpoints("s", list(false))
 	uninformed.SetEndpoints("s", list(false))
-	qt.Check(t, notices, qt.HasLen, 0)
+	qt.Check(t, updates, qt.HasLen, 0)
 	informed.SetEndpoints("s", list(true))
-	uninformed.ApplyLoadUpdates("knows", notices)
+	uninformed.ApplyLoadUpdates("knows", updates)
 	req := carawayspread.PlacementRequest{
 		Route: &carawayspread.Route{Name: "r", TargetLatency: time.Second}, Service: carawayspread.RoutedService{Name: "s"},
 		Arrived: clock.Now(), Deadline: clock.Now().Add(time.Minute),
@@ -38,13 +38,13 @@
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, at.Endpoint.ID(), qt.Equals, carawayspread.EndpointID("b"))
 	}
-	notices = nil
+	updates = nil
 	informed.SetEndpoints("s", list(true))
-	qt.Check(t, notices, qt.HasLen, 0, qt.Commentf("once"))
-	uninformed.env.Broadcast = func(n carawayspread.LoadUpdate) { notices = append(notices, n) }
+	qt.Check(t, updates, qt.HasLen, 0, qt.Commentf("once"))
+	uninformed.env.Broadcast = func(n carawayspread.LoadUpdate) { updates = append(updates, n) }
 	uninformed.SetEndpoints("s", list(true))
-	qt.Check(t, notices, qt.HasLen, 0, qt.Commentf("peers have been notified already"))
-	clock.Advance(leavingDuration)
+	qt.Check(t, updates, qt.HasLen, 0, qt.Commentf("peers have been notified already"))
+	clock.Advance(leavingSuspension)
 	uninformed.SetEndpoints("s", list(false))
 	for key := range uint64(8) {
 		req.Fingerprint = key
@@ -52,5 +52,5 @@
 			return
 		}
 	}
-	t.Error("a peer's notice outlasts leavingDuration")
+	t.Error("a peer's load update outlasts leavingSuspension")
 }
--- a/internal/decision/placement/load.go
+++ b/internal/decision/placement/load.go
@@ -74,14 +74,14 @@
 }
 
 // set replaces a peer's load at an endpoint and returns the previous one.
-func (l *loads) set(p *peer, n carawayspread.LoadUpdate) load {
-	before, next := p.loads[n.EndpointHash], load{n.Running, n.Tokens}
+func (l *loads) set(p *peer, u carawayspread.LoadUpdate) load {
+	before, next := p.loads[u.EndpointHash], load{u.Running, u.Tokens}
 	if next == (load{}) {
-		delete(p.loads, n.EndpointHash)
+		delete(p.loads, u.EndpointHash)
 	} else {
-		p.loads[n.EndpointHash] = next
+		p.loads[u.EndpointHash] = next
 	}
-	l.add(n.EndpointHash, next.minus(before))
+	l.add(u.EndpointHash, next.minus(before))
 	return before
 }
 
--- a/internal/decision/placement/placer.go
+++ b/internal/decision/placement/placer.go
@@ -12,7 +12,7 @@
 // earliest expected first event, after adding a price for the engine time that it takes from other
 // requests. A request that cannot be answered while its caller waits is refused at once.
 //
-// A process that receives no notices knows its own placements only.
+// A process that receives no load updates knows its own placements only.
 package placement
 
 import (
@@ -45,7 +45,7 @@
 	maxTransferPrice = 0.25
 	// workPrice is the price of a millisecond of engine time, relative to a millisecond of the
 	// request's own wait.
-	workPrice = 0.6
+	prefillPrice = 0.6
 	// recomputePrice is the price of prefilling a token that another engine holds, in addition to
 	// the time that it takes here.
 	//
@@ -62,8 +62,9 @@
 	// gapTargetShare is the part of the routes' target for the gap between events that is planned
 	// for.
 	gapTargetShare = 0.9
-	// unknownPrefillFactor scales a prefill beside decodes when its event gap is estimated: notices
-	// of some prefills that other processes send to the engine at the same moment arrive too late.
+	// unknownPrefillFactor scales a prefill beside decodes when its event gap is estimated: load
+	// updates of some prefills that other processes send to the engine at the same moment arrive
+	// too late.
 	unknownPrefillFactor = 1.5
 	// meanLearningRate is the weight of one prompt in the mean lengths of prompts and outputs.
 	meanLearningRate = 0.02
@@ -151,8 +152,8 @@
 		if e == nil {
 			e = newEngine(endpoint)
 		}
-		if endpoint.Leaving() && !e.endpoint.Leaving() && !e.unavailableUntil.After(now) {
-			p.env.Broadcast(carawayspread.LoadUpdate{EndpointHash: e.hash, Running: e.ownAttempts, Tokens: e.ownTokens, SuspendedFor: leavingDuration})
+		if endpoint.Leaving() && !e.endpoint.Leaving() && !e.suspendedUntil.After(now) {
+			p.env.Broadcast(carawayspread.LoadUpdate{EndpointHash: e.hash, Running: e.ownAttempts, Tokens: e.ownTokens, SuspendedFor: leavingSuspension})
 		}
 		e.update(endpoint)
 		e.maxParts = max(1, min(maxPartsPerEngine, maxPartsPerService/len(endpoints)))
@@ -221,33 +222,33 @@
 	}
 }
 
-// Heard applies the notices of a peer.
-func (p *Placer) ApplyLoadUpdates(sender string, notices []carawayspread.LoadUpdate) {
+// ApplyLoadUpdates implements carawayspread.Placer.
+func (p *Placer) ApplyLoadUpdates(sender string, updates []carawayspread.LoadUpdate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.env.Clock.Now()
 	from := p.loads.touch(now, sender)
-	for _, n := range notices {
-		before := p.loads.set(from, n)
-		e := p.byHash[n.EndpointHash]
+	for _, u := range updates {
+		before := p.loads.set(from, u)
+		e := p.byHash[u.EndpointHash]
 		if e == nil {
 			continue
 		}
-		if n.Running < before.running {
+		if u.Running < before.running {
 			e.lastProgress = now
 		}
-		if n.PrefillTime > 0 {
-			e.addPrefill(now, n.PrefillTime)
+		if u.PrefillTime > 0 {
+			e.addPrefill(now, u.PrefillTime)
 			if pool := p.pools[e.endpoint.Service()]; pool != nil {
-				pool.arrivedTokens += n.PrefillTokens
+				pool.arrivedTokens += u.PrefillTokens
 			}
 		}
-		e.shiftBacklog(max(-maxPeerCorrection, min(maxPeerCorrection, n.PrefillDelay)))
-		if n.SuspendedFor > 0 {
-			e.unavailableUntil = later(e.unavailableUntil, now.Add(min(n.SuspendedFor, maxPeerUnavailable)))
+		e.shiftBacklog(max(-maxPeerCorrection, min(maxPeerCorrection, u.PrefillDelay)))
+		if u.SuspendedFor > 0 {
+			e.suspendedUntil = later(e.suspendedUntil, now.Add(min(u.SuspendedFor, maxPeerSuspension)))
 		}
-		if n.PrefillTokens > 0 || len(n.PrefixHashes) > 0 {
-			e.cacheParts(n.PrefixHashes, n.PrefillTokens)
+		if u.PrefillTokens > 0 || len(u.PrefixHashes) > 0 {
+			e.cacheParts(u.PrefixHashes, u.PrefillTokens)
 		}
 	}
 }
--- a/internal/decision/placement/plain_test.go
+++ b/internal/decision/placement/plain_test.go
@@ -24,7 +24,7 @@
 	})
 	req := carawayspread.PlacementRequest{Route: &carawayspread.Route{Name: "r", TargetLatency: 300 * time.Millisecond}, Service: carawayspread.RoutedService{Name: "s"}}
 	type running struct {
-		attempt  carawayspread.AttemptTracker
+		tracker  carawayspread.AttemptTracker
 		sent     time.Time
 		ends     time.Time
 		expected time.Duration
@@ -42,7 +42,7 @@
 				unfinished = append(unfinished, r)
 				continue
 			}
-			r.attempt.End(carawayspread.OutcomeServed)
+			r.tracker.End(carawayspread.OutcomeServed)
 			if measured := r.ends.Sub(r.sent); total > 400 {
 				worstRatio = max(worstRatio, float64(r.expected)/float64(measured))
 			}
--- a/internal/decision/placement/pool.go
+++ b/internal/decision/placement/pool.go
@@ -36,7 +36,7 @@
 	gapTargets       map[string]time.Duration
 	meanPromptTokens float64 // of a prompt, exponentially weighted
 	meanOutputTokens float64 // of an answer, exponentially weighted
-	stride           int     // tokens of one event; zero if not configured
+	tokensPerEvent   int     // tokens of one event; zero if not configured
 	// lag is the mean lateness of prefills that waited in a queue, relative to the expected time
 	// and exponentially weighted: of engines that only prefill, and of the others.
 	lag struct{ prefill, decode float64 }
@@ -59,11 +59,11 @@
 // first token, it would refuse prompts as too late that their affinity engine holds; if it expected
 // all to be held, it would admit too many after all engines have restarted.
 func (pool *pool) learnHitRate(now time.Time, a *attempt) {
-	if a.cold-a.warm < minHitSaving || a.expectedStart.Sub(a.sentAt) >= maxUnqueuedWait {
+	if a.coldPrefillTime-a.warmPrefillTime < minHitSaving || a.expectedStart.Sub(a.sentAt) >= maxUnqueuedWait {
 		return
 	}
 	took := now.Sub(a.expectedStart) - a.engine.delay
-	hit := min(1, max(0, float64(a.cold-took)/float64(a.cold-a.warm)))
+	hit := min(1, max(0, float64(a.coldPrefillTime-took)/float64(a.coldPrefillTime-a.warmPrefillTime)))
 	pool.affinityHitRate += hitRateLearningRate * (hit - pool.affinityHitRate)
 }
 
@@ -108,7 +108,7 @@
 			}
 		}
 	}
-	pool.stride = req.Service.Engine.TokensPerEvent
+	pool.tokensPerEvent = req.Service.Engine.TokensPerEvent
 	if pool.meanPromptTokens == 0 {
 		pool.meanPromptTokens = float64(req.Prompt.Tokens)
 	}
@@ -129,7 +129,7 @@
 // prefilled beside them.
 func (pool *pool) toleratesPrefill(e *engine, running int) bool {
 	limit := pool.gapLimit()
-	return limit == 0 || e.eventGap(running, pool.stride, time.Hour, int(pool.meanPromptTokens)) <= limit
+	return limit == 0 || e.eventGap(running, pool.tokensPerEvent, time.Hour, int(pool.meanPromptTokens)) <= limit
 }
 
 // disaggregated reports whether most engines that decode do not tolerate prefill.
@@ -204,5 +204,5 @@
 
 // eligible reports whether the engine may get the request.
 func (pool *pool) eligible(now time.Time, e *engine, req carawayspread.PlacementRequest) bool {
-	return !e.unavailableUntil.After(now) && !e.endpoint.Leaving() && !req.Exclude[e.endpoint.ID()] && pool.ejector.Allowed(e.endpoint.ID())
+	return !e.suspendedUntil.After(now) && !e.endpoint.Leaving() && !req.Exclude[e.endpoint.ID()] && pool.ejector.Allowed(e.endpoint.ID())
 }
--- a/internal/decision/placement/prompt.go
+++ b/internal/decision/placement/prompt.go
@@ -8,40 +8,41 @@
 
 // choice is an engine for a request, with the expected times and the cost of choosing it.
 type choice struct {
-	engine       *engine
-	prefillOnly  bool
-	first        time.Duration
-	cost         time.Duration
-	work         time.Duration
-	unqueued     time.Duration // value of first without a queue
-	cachedTokens int
-	fetchSource  *engine       // engine to fetch a cached prefix from; nil for none
-	fetchTime    time.Duration // expected time of the fetch
-	// cold and warm are work with nothing and with all cached of a shared prefix that no engine is
-	// known to hold; zero if one is, or if the engine is not the affinity engine.
-	cold, warm time.Duration
+	engine           *engine
+	prefillOnly      bool
+	timeToFirstEvent time.Duration
+	cost             time.Duration
+	prefillTime      time.Duration
+	unqueued         time.Duration // timeToFirstEvent without a queue
+	cachedTokens     int
+	fetchSource      *engine       // engine to fetch a cached prefix from; nil for none
+	fetchTime        time.Duration // expected time of the fetch
+	// coldPrefillTime and warmPrefillTime are prefillTime with nothing and with all cached of a
+	// shared prefix that no engine is known to hold; zero if one is, or if the engine is not the
+	// affinity engine.
+	coldPrefillTime, warmPrefillTime time.Duration
 }
 
 func (p *Placer) placePrompt(now time.Time, pool *pool, req carawayspread.PlacementRequest) (carawayspread.Placement, error) {
-	chains := req.Prompt.PrefixHashes()
+	prefixHashes := req.Prompt.PrefixHashes()
 	pool.observePrompt(req)
-	engines := pool.candidates(req, chains)
-	best, ok := p.best(now, pool, engines, req, chains)
+	engines := pool.candidates(req, prefixHashes)
+	best, ok := p.best(now, pool, engines, req, prefixHashes)
 	if !ok && len(engines) < len(pool.ordered) {
 		// No sampled engine is eligible, which says nothing about the others.
-		best, ok = p.best(now, pool, pool.ordered, req, chains)
+		best, ok = p.best(now, pool, pool.ordered, req, prefixHashes)
 	}
 	if !ok {
 		return carawayspread.Placement{}, noEndpoint()
 	}
 	if req.PrefilledBy != "" {
-		return carawayspread.Placement{Endpoint: best.engine.endpoint, TimeToFirstEvent: best.first}, nil
+		return carawayspread.Placement{Endpoint: best.engine.endpoint, TimeToFirstEvent: best.timeToFirstEvent}, nil
 	}
 	at := carawayspread.Placement{
-		Endpoint: best.engine.endpoint, PrefillOnly: best.prefillOnly, TimeToFirstEvent: best.first, CachedTokens: best.cachedTokens,
-		PrefillTime: best.work, QueueTime: best.engine.wait(now),
+		Endpoint: best.engine.endpoint, PrefillOnly: best.prefillOnly, TimeToFirstEvent: best.timeToFirstEvent, CachedTokens: best.cachedTokens,
+		PrefillTime: best.prefillTime, QueueTime: best.engine.wait(now),
 		FetchTime: best.fetchTime, FetchedTokens: best.cachedTokens - best.engine.cachedPrefix,
-		ColdPrefillTime: best.cold, WarmPrefillTime: best.warm,
+		ColdPrefillTime: best.coldPrefillTime, WarmPrefillTime: best.warmPrefillTime,
 	}
 	if best.fetchSource != nil {
 		at.FetchFrom = &best.fetchSource.endpoint
@@ -50,16 +51,16 @@
 }
 
 // best returns the choice with the lowest cost among the engines.
-func (p *Placer) best(now time.Time, pool *pool, engines []*engine, req carawayspread.PlacementRequest, chains []uint64) (choice, bool) {
+func (p *Placer) best(now time.Time, pool *pool, engines []*engine, req carawayspread.PlacementRequest, prefixHashes []uint64) (choice, bool) {
 	decode, canDecode := p.bestDecode(now, pool, engines, req)
 	if req.PrefilledBy != "" {
 		return decode, canDecode
 	}
-	sources := pool.findSources(now, engines, req, chains)
+	sources := pool.findSources(now, engines, req, prefixHashes)
 	var affinity *engine
 	var missPrice time.Duration
 	if sources.cachedTokens == 0 {
-		affinity = pool.affinityEngine(now, engines, req, chains)
+		affinity = pool.affinityEngine(now, engines, req, prefixHashes)
 		missPrice = time.Duration(affinityMissPrice * float64(sharedTokens(req.Prompt)) * float64(recomputePrice))
 	}
 	var best choice
@@ -76,8 +77,8 @@
 		}
 		c := p.evaluate(now, pool, e, l, sources, decode, req)
 		if e == affinity {
-			c.cold = e.prefillTime(req.Prompt.Tokens, 0, l.running)
-			c.warm = e.prefillTime(req.Prompt.Tokens, sharedTokens(req.Prompt), l.running)
+			c.coldPrefillTime = e.prefillTime(req.Prompt.Tokens, 0, l.running)
+			c.warmPrefillTime = e.prefillTime(req.Prompt.Tokens, sharedTokens(req.Prompt), l.running)
 		} else if affinity != nil {
 			c.cost += missPrice
 		}
@@ -92,30 +93,30 @@
 // engine that only prefills hands the KV cache over to the engine of decode.
 func (p *Placer) evaluate(now time.Time, pool *pool, e *engine, l load, sources cacheSources, decode choice, req carawayspread.PlacementRequest) choice {
 	cached := e.cachedPrefix
-	work := e.prefillTime(req.Prompt.Tokens, cached, l.running)
-	fetchedWork := e.prefillTime(req.Prompt.Tokens, sources.cachedTokens, l.running)
-	source, fetchTime := sources.fetchSource(e, req.Service.Engine, work-fetchedWork)
+	prefillTime := e.prefillTime(req.Prompt.Tokens, cached, l.running)
+	fetchedPrefillTime := e.prefillTime(req.Prompt.Tokens, sources.cachedTokens, l.running)
+	source, fetchTime := sources.fetchSource(e, req.Service.Engine, prefillTime-fetchedPrefillTime)
 	if source != nil {
-		work, cached = fetchedWork, sources.cachedTokens
+		prefillTime, cached = fetchedPrefillTime, sources.cachedTokens
 	}
 	c := choice{
-		engine: e, prefillOnly: e.prefillOnly(), work: work, cachedTokens: cached, fetchSource: source, fetchTime: fetchTime,
-		first: e.wait(now) + fetchTime + work + e.delay,
+		engine: e, prefillOnly: e.prefillOnly(), prefillTime: prefillTime, cachedTokens: cached, fetchSource: source, fetchTime: fetchTime,
+		timeToFirstEvent: e.wait(now) + fetchTime + prefillTime + e.delay,
 	}
 	if c.prefillOnly {
-		c.first += handoffDelay + decode.first
+		c.timeToFirstEvent += handoffDelay + decode.timeToFirstEvent
 	} else {
-		c.first += e.stepTime(l.running)
+		c.timeToFirstEvent += e.stepTime(l.running)
 	}
-	c.cost = c.first + time.Duration(workPrice*float64(work))
+	c.cost = c.timeToFirstEvent + time.Duration(prefillPrice*float64(prefillTime))
 	if c.prefillOnly {
-		c.cost += decode.cost - decode.first
+		c.cost += decode.cost - decode.timeToFirstEvent
 	} else {
-		c.cost += p.decodeCost(now, e, l.running, req) + time.Duration(interferencePrice*float64(l.running)*float64(work))
-		c.cost += pool.gapPenalty(now, e, l.running, work, req)
+		c.cost += p.decodeCost(now, e, l.running, req) + time.Duration(interferencePrice*float64(l.running)*float64(prefillTime))
+		c.cost += pool.gapPenalty(now, e, l.running, prefillTime, req)
 	}
 	c.cost += p.crossZoneCost(e, req) + time.Duration(max(0, sources.cachedTokens-cached))*recomputePrice + time.Duration(cached-e.cachedPrefix)*fetchPrice
-	c.unqueued = c.first - e.wait(now)
+	c.unqueued = c.timeToFirstEvent - e.wait(now)
 	return c
 }
 
@@ -125,17 +126,17 @@
 // A prefill beside decodes puts a chunk between any two steps, so that each event takes several
 // times as long. If only running answers counted, the next prompt would cost nothing where one is
 // prefilled already, and engines that decode would prefill for as long as the load lasts.
-func (pool *pool) gapPenalty(now time.Time, e *engine, running int, work time.Duration, req carawayspread.PlacementRequest) time.Duration {
-	limit, stride := pool.gapLimit(), req.Service.Engine.TokensPerEvent
+func (pool *pool) gapPenalty(now time.Time, e *engine, running int, prefillTime time.Duration, req carawayspread.PlacementRequest) time.Duration {
+	limit, tokensPerEvent := pool.gapLimit(), req.Service.Engine.TokensPerEvent
 	if limit == 0 || running == 0 {
 		return 0
 	}
 	wait := e.wait(now)
-	if e.eventGap(running, stride, wait+time.Duration(unknownPrefillFactor*float64(work)), req.Prompt.Tokens) <= limit {
+	if e.eventGap(running, tokensPerEvent, wait+time.Duration(unknownPrefillFactor*float64(prefillTime)), req.Prompt.Tokens) <= limit {
 		return 0
 	}
-	late := float64(running) * float64(work) / float64(pool.answerTime(e, running))
-	if e.eventGap(running, stride, wait, req.Prompt.Tokens) <= limit {
+	late := float64(running) * float64(prefillTime) / float64(pool.answerTime(e, running))
+	if e.eventGap(running, tokensPerEvent, wait, req.Prompt.Tokens) <= limit {
 		late += float64(running)
 	}
 	return time.Duration(late * float64(req.Route.TargetLatency))
@@ -143,7 +144,7 @@
 
 // admit refuses a request that would be too late to be worth its engine time.
 func (p *Placer) admit(now time.Time, req carawayspread.PlacementRequest, best choice) error {
-	first := best.first
+	first := best.timeToFirstEvent
 	if now.Add(first).After(req.Deadline) {
 		return p.overloaded(first)
 	}
@@ -209,7 +210,7 @@
 		}
 		cost += first
 		if best.engine == nil || cost < best.cost {
-			best = choice{engine: e, first: first, cost: cost}
+			best = choice{engine: e, timeToFirstEvent: first, cost: cost}
 		}
 	}
 	return best, best.engine != nil
--- a/internal/decision/placement/replay_test.go
+++ b/internal/decision/placement/replay_test.go
@@ -18,7 +18,7 @@
 
 // replay simulates a load with engines of a simple model: a prefill engine processes one prompt
 // after the other at 10 µs a token, finds the parts that it prefilled lately, and each answer takes
-// another 60 ms. A decode engine prefills at half the speed. Notices reach the other processes
+// another 60 ms. A decode engine prefills at half the speed. Load updates reach the other processes
 // after 2 ms.
 type replay struct {
 	clock   *clockwork.FakeClock
@@ -27,7 +27,7 @@
 	seq     int
 	engines map[carawayspread.EndpointID]*modelEngine
 	placers []carawayspread.Placer
-	gossip  bool // processes receive each other's notices
+	gossip  bool // processes receive each other's load updates
 
 	total, inTime, refused, recomputed, shared int
 	large, largeServed                         int
@@ -105,14 +105,14 @@
 	newPlacer, _ := carawayspread.Placers.Get(name)
 	for n := range processes {
 		env := carawayspread.Environment{Clock: r.clock, Zone: "z0", Rand: rand.New(rand.NewPCG(3, uint64(n)))}
-		env.Broadcast = func(notice carawayspread.LoadUpdate) {
+		env.Broadcast = func(update carawayspread.LoadUpdate) {
 			if !r.gossip {
 				return
 			}
 			r.after(2*time.Millisecond, func() {
 				for other, placer := range r.placers {
 					if other != n {
-						placer.ApplyLoadUpdates(fmt.Sprint(n), []carawayspread.LoadUpdate{notice})
+						placer.ApplyLoadUpdates(fmt.Sprint(n), []carawayspread.LoadUpdate{update})
 					}
 				}
 			})
@@ -199,22 +199,22 @@
 	if e.endpoint.Zone() != "z0" {
 		r.crossZone++
 	}
-	sent := placer.Sent(req, at)
-	chain := req.Prompt.PrefixHashes()[0]
+	tracker := placer.Sent(req, at)
+	prefixHash := req.Prompt.PrefixHashes()[0]
 	took := 5 * time.Millisecond
 	if req.PrefilledBy == "" {
 		uncached := p.tokens
-		if cachedAt, ok := e.cachedAt[chain]; ok && now.Sub(cachedAt) < modelCacheTTL {
+		if cachedAt, ok := e.cachedAt[prefixHash]; ok && now.Sub(cachedAt) < modelCacheTTL {
 			uncached -= p.shared
 		} else {
 			for _, other := range r.engines {
-				if cachedAt, ok := other.cachedAt[chain]; ok && now.Sub(cachedAt) < modelCacheTTL {
+				if cachedAt, ok := other.cachedAt[prefixHash]; ok && now.Sub(cachedAt) < modelCacheTTL {
 					r.recomputed++
 					break
 				}
 			}
 		}
-		e.cachedAt[chain] = now
+		e.cachedAt[prefixHash] = now
 		work := time.Duration(float64(uncached)*e.slowdown) * modelTimePerToken
 		if !at.PrefillOnly {
 			work *= 2
@@ -223,8 +223,8 @@
 		took = e.freeAt.Sub(now) + modelDelay
 	}
 	r.after(took, func() {
-		sent.Answered()
-		sent.End(carawayspread.OutcomeServed)
+		tracker.Answered()
+		tracker.End(carawayspread.OutcomeServed)
 		if at.PrefillOnly {
 			req.PrefilledBy = at.Endpoint.ID()
 			r.place(placer, p, req)
@@ -268,10 +268,10 @@
 }
 
 // Guards against processes that do not know of each other's requests sending them to the same
-// engine. The load is the same with and without notices. Where prompts share prefixes, their
-// affinity engines spread the requests of processes without notices too, but the longest wait still
-// differs.
-func TestNoticesPreventHerding(t *testing.T) {
+// engine. The load is the same with and without load updates. Where prompts share prefixes, their
+// affinity engines spread the requests of processes without load updates too, but the longest wait
+// still differs.
+func TestLoadUpdatesPreventHerding(t *testing.T) {
 	for name, c := range map[string]struct {
 		shared int
 		gain   float64 // in the share of requests in time
@@ -284,7 +284,7 @@
 			burst.perSecond, burst.shared = 430, c.shared
 			gossip := newReplay("estimate", true, 8, 6, 6).play(20*time.Second, burst)
 			isolated := newReplay("estimate", false, 8, 6, 6).play(20*time.Second, burst)
-			t.Logf("with notices %.3f worst %v, without %.3f worst %v", gossip.share(), gossip.worstWait, isolated.share(), isolated.worstWait)
+			t.Logf("with load updates %.3f worst %v, without %.3f worst %v", gossip.share(), gossip.worstWait, isolated.share(), isolated.worstWait)
 			qt.Check(t, gossip.share() > isolated.share()+c.gain, qt.IsTrue)
 			qt.Check(t, gossip.worstWait*2 < isolated.worstWait, qt.IsTrue)
 		})
@@ -439,8 +439,8 @@
 	qt.Check(t, share > 0.5*rest, qt.IsTrue)
 }
 
-// Guards against one notice of a peer that puts an engine out of use: a reported lateness moves the
-// backlog no further than one answer may.
+// Guards against one load update of a peer that puts an engine out of use: a reported lateness
+// moves the backlog no further than one answer may.
 func TestPeerBacklogCorrectionIsBounded(t *testing.T) {
 	r := newReplay("estimate", true, 1, 2, 2)
 	p := r.placers[0].(*Placer)
--- a/internal/decision/placement/roles_test.go
+++ b/internal/decision/placement/roles_test.go
@@ -17,7 +17,7 @@
 
 // Requests avoid an engine that changes its role, in this process and at the notified peer. They
 // reach it again as soon as its entry shows the new role, or when the time has passed.
-func TestUnavailableEngineGetsNoRequests(t *testing.T) {
+func TestSuspendedEngineGetsNoRequests(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
 	peer := New(carawayspread.Environment{Clock: clock, Zone: "z"})
 	p := New(carawayspread.Environment{Clock: clock, Zone: "z", Broadcast: func(n carawayspread.LoadUpdate) {
@@ -49,9 +49,9 @@
 		placer.SetEndpoints("s", all) // the entry still shows the old role
 		qt.Check(t, used(placer), qt.HasLen, 1)
 	}
-	// A late notice that the entry is wrong does not shorten the time out of use.
+	// A later report that the entry is stale does not shorten the suspension.
 	p.MarkStale("changes")
-	clock.Advance(staleEntryDuration + time.Second)
+	clock.Advance(staleSuspension + time.Second)
 	for _, placer := range []*Placer{p, peer} {
 		qt.Check(t, used(placer), qt.HasLen, 1)
 	}
@@ -72,7 +72,7 @@
 	p.Roles()
 	prefill := p.byHash[hashOf("reads")]
 	p.ApplyLoadUpdates("other", []carawayspread.LoadUpdate{{EndpointHash: prefill.hash, Running: 3, PrefillTime: time.Millisecond, PrefillTokens: 5000}})
-	p.ApplyLoadUpdates("other", []carawayspread.LoadUpdate{{EndpointHash: prefill.hash, Running: 3, PrefillTokens: 400}}) // a notice without a prefill
+	p.ApplyLoadUpdates("other", []carawayspread.LoadUpdate{{EndpointHash: prefill.hash, Running: 3, PrefillTokens: 400}}) // an update without a prefill
 	clock.Advance(2 * time.Second)
 	all := p.Roles()
 	qt.Assert(t, all, qt.HasLen, 1)
--- a/internal/decision/placement/stalled_test.go
+++ b/internal/decision/placement/stalled_test.go
@@ -18,7 +18,7 @@
 	const slow = 500 * time.Millisecond
 	start := func(t *testing.T, n, urgent int) (*gapFixture, []carawayspread.AttemptTracker) {
 		f := newGapFixture(0)
-		var attempts []carawayspread.AttemptTracker
+		var trackers []carawayspread.AttemptTracker
 		for i := range n {
 			req := f.request(100)
 			req.Route.Priority = 1
@@ -28,48 +28,48 @@
 			at, err := f.placer.Place(req)
 			qt.Assert(t, err, qt.IsNil)
 			at.Endpoint = endpointOf("reads", carawayspread.RolePrefill)
-			attempts = append(attempts, f.placer.Sent(req, at))
+			trackers = append(trackers, f.placer.Sent(req, at))
 		}
-		return f, attempts
+		return f, trackers
 	}
 	t.Run("a long queue", func(t *testing.T) {
-		f, attempts := start(t, 5, 0)
-		for _, sent := range attempts[:4] {
+		f, trackers := start(t, 5, 0)
+		for _, tracker := range trackers[:4] {
 			f.clock.Advance(slow)
-			sent.Answered()
-			sent.End(carawayspread.OutcomeServed)
+			tracker.Answered()
+			tracker.End(carawayspread.OutcomeServed)
 			f.clock.Advance(slow)
-			qt.Check(t, attempts[4].Stalled(), qt.IsFalse)
+			qt.Check(t, trackers[4].Stalled(), qt.IsFalse)
 		}
 	})
 	t.Run("a peer's queue", func(t *testing.T) {
-		f, attempts := start(t, 1, 0)
+		f, trackers := start(t, 1, 0)
 		for running := range 4 {
 			f.placer.ApplyLoadUpdates("peer", []carawayspread.LoadUpdate{{EndpointHash: hashOf("reads"), Running: 5 - running}})
-			qt.Check(t, attempts[0].Stalled(), qt.IsFalse)
+			qt.Check(t, trackers[0].Stalled(), qt.IsFalse)
 			f.clock.Advance(slow)
 		}
 	})
 	t.Run("overtaken", func(t *testing.T) {
-		_, attempts := start(t, 4, 0)
-		for i, sent := range attempts[1:] {
-			qt.Check(t, attempts[0].Stalled(), qt.IsFalse, qt.Commentf("%d", i))
-			sent.Answered()
+		_, trackers := start(t, 4, 0)
+		for i, tracker := range trackers[1:] {
+			qt.Check(t, trackers[0].Stalled(), qt.IsFalse, qt.Commentf("%d", i))
+			tracker.Answered()
 		}
-		qt.Check(t, attempts[0].Stalled(), qt.IsTrue)
+		qt.Check(t, trackers[0].Stalled(), qt.IsTrue)
 	})
 	t.Run("overtaken by more urgent attempts", func(t *testing.T) {
-		_, attempts := start(t, 4, 3)
-		for _, sent := range attempts[1:] {
-			sent.Answered()
+		_, trackers := start(t, 4, 3)
+		for _, tracker := range trackers[1:] {
+			tracker.Answered()
 		}
-		qt.Check(t, attempts[0].Stalled(), qt.IsFalse)
+		qt.Check(t, trackers[0].Stalled(), qt.IsFalse)
 	})
 	t.Run("silent", func(t *testing.T) {
-		f, attempts := start(t, 2, 0)
+		f, trackers := start(t, 2, 0)
 		f.clock.Advance(slow)
-		qt.Check(t, attempts[1].Stalled(), qt.IsFalse)
+		qt.Check(t, trackers[1].Stalled(), qt.IsFalse)
 		f.clock.Advance(slow)
-		qt.Check(t, attempts[1].Stalled(), qt.IsTrue)
+		qt.Check(t, trackers[1].Stalled(), qt.IsTrue)
 	})
 }
--- a/internal/decision/placement/transfers_test.go
+++ b/internal/decision/placement/transfers_test.go
@@ -60,7 +60,7 @@
 				at, err := p.Place(req)
 				qt.Assert(t, err, qt.IsNil)
 				if at.PrefillOnly && zones[at.Endpoint.ID()] == "a" {
-					prefill := p.Sent(req, at)
+					tracker := p.Sent(req, at)
 					req.PrefilledBy = at.Endpoint.ID()
 					next, err := p.Place(req)
 					qt.Assert(t, err, qt.IsNil)
@@ -68,8 +68,8 @@
 					if zones[next.Endpoint.ID()] == "a" {
 						sameZone++
 					}
-					prefill.Answered()
-					prefill.End(carawayspread.OutcomeServed)
+					tracker.Answered()
+					tracker.End(carawayspread.OutcomeServed)
 				}
 				clock.Advance(16 * time.Millisecond)
 			}
