--- a/internal/decision/overload/bench_test.go
+++ b/internal/decision/overload/bench_test.go
@@ -13,8 +13,8 @@
 	return carawayspread.Environment{Clock: carawayspread.SystemClock(), Rand: rand.New(rand.NewPCG(1, 2)), Zone: "a"}
 }
 
-// BenchmarkScheduler takes one job through Offer, Next and Done while every
-// workspace has a job queued.
+// BenchmarkScheduler measures Offer, Next and Done of one job while every workspace (at most 4,000)
+// has a job queued.
 func BenchmarkScheduler(b *testing.B) {
 	class := carawayspread.NewClass("register", carawayspread.NewTarget(time.Hour, 0, 0, 0.95), false)
 	for _, workspaces := range []int{10, 100, 1000, 6800} {
@@ -50,7 +50,7 @@
 	}
 }
 
-// BenchmarkRouter takes one job through Pick, Sent and Ended.
+// BenchmarkRouter measures Pick, Sent and Ended of one job.
 func BenchmarkRouter(b *testing.B) {
 	for _, name := range []string{"hashRouter", "leastOutstanding", "roundRobin"} {
 		for _, endpoints := range []int{20, 200, 1300} {
@@ -85,7 +85,7 @@
 	}
 }
 
-// BenchmarkGuards takes one attempt through limiter and ejector.
+// BenchmarkGuards measures one attempt through limiter and ejector.
 func BenchmarkGuards(b *testing.B) {
 	for _, endpoints := range []int{20, 200, 1300} {
 		b.Run(fmt.Sprint("endpoints=", endpoints), func(b *testing.B) {
@@ -112,7 +112,7 @@
 	}
 }
 
-// BenchmarkSetEndpoints rebuilds the rings after one endpoint left.
+// BenchmarkSetEndpoints measures rebuilding the hash rings after one endpoint left.
 func BenchmarkSetEndpoints(b *testing.B) {
 	for _, endpoints := range []int{20, 200, 1300} {
 		b.Run(fmt.Sprint("endpoints=", endpoints), func(b *testing.B) {
--- a/internal/decision/overload/silence_test.go
+++ b/internal/decision/overload/degradation_test.go
@@ -18,16 +18,17 @@
 	"carawayspread/internal/decision/retrybudget"
 )
 
-// Reports and store fall silent for a minute, then for an hour. Callers are
-// still served: what was measured before is used or forgotten as each module
-// states, and nothing is refused or emptied because of the silence alone.
-func TestSilence(t *testing.T) {
-	for _, silence := range []time.Duration{time.Minute, time.Hour} {
-		t.Run(silence.String(), func(t *testing.T) {
+// Guards against refusals caused only by missing information: load reports and the store are
+// unavailable for a minute, then for an hour. Callers are still served: each module uses or forgets
+// earlier measurements as it documents, and the outage alone neither refuses a request nor empties
+// the endpoint list.
+func TestLostReports(t *testing.T) {
+	for _, outage := range []time.Duration{time.Minute, time.Hour} {
+		t.Run(outage.String(), func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
 			env := carawayspread.Environment{Clock: clock, Rand: rand.New(rand.NewPCG(1, 2))}
 			scheduler, router, limiter := fairqueue.New(env), hashrouter.New(env), gradient.New(env)
-			ejector, budget, memory := ejection.New(env), retrybudget.New(clock), quarantine.New(clock)
+			ejector, budget, quarantineState := ejection.New(env), retrybudget.New(clock), quarantine.New(clock)
 			job := func() *carawayspread.Job {
 				return &carawayspread.Job{Workspace: "w", Class: ruling, Arrived: clock.Now(), Cost: rulingCost, Prefix: 5, Fingerprint: rand.Uint64()}
 			}
@@ -41,11 +42,11 @@
 			ejector.SetEndpoints(ids)
 			scheduler.Capacity(4)
 			free := func(carawayspread.EndpointID) carawayspread.Standing { return carawayspread.StandingFree }
-			before := map[carawayspread.EndpointID]int{}
+			pickedBefore := map[carawayspread.EndpointID]int{}
 			for n, id := range ids {
 				router.Reported(carawayspread.Report{Endpoint: id, Taken: clock.Now(), Running: 4 * n, Slots: 16, Crashed: n == 9})
 			}
-			for range 20 { // measured as so slow that no ruling is in time
+			for range 20 { // measured as so slow that no ruling could be in time
 				late := job()
 				_ = scheduler.Offer(late)
 				scheduler.Done(scheduler.Next(), carawayspread.Served{Cost: rulingCost, FirstToken: time.Minute, Took: time.Minute})
@@ -54,50 +55,50 @@
 				ejector.Observe(ids[0], 0, carawayspread.OutcomeFailed)
 				budget.Allow()
 			}
-			memory.Crashed(quarantine.Crash{Endpoint: ids[0], At: clock.Now()}, []uint64{1}, nil)
-			memory.Convicted(2, 10*time.Minute)
+			quarantineState.Crashed(quarantine.Crash{Endpoint: ids[0], At: clock.Now()}, []uint64{1}, nil)
+			quarantineState.Convicted(2, 10*time.Minute)
 			limit := limiter.Limit()
-			fixed := job()
+			sameJob := job()
 			for range 50 {
-				before[router.Pick(fixed, free).Endpoint]++
+				pickedBefore[router.Pick(sameJob, free).Endpoint]++
 			}
 			qt.Check(t, ejector.Allowed(ids[0]), qt.IsFalse)
 
-			clock.Advance(silence)
+			clock.Advance(outage)
 
 			for range 4 {
 				qt.Check(t, scheduler.Offer(job()), qt.IsNil)
 				qt.Check(t, scheduler.Next(), qt.IsNotNil)
 			}
-			qt.Check(t, scheduler.Offer(job()), qt.IsNil) // waits, though the old rates would refuse it
+			qt.Check(t, scheduler.Offer(job()), qt.IsNil) // is queued, though the old rates would refuse it
 			for range 50 {
-				choice := router.Pick(fixed, free)
+				choice := router.Pick(sameJob, free)
 				qt.Check(t, choice.Displaced, qt.IsFalse)
-				qt.Check(t, before[choice.Endpoint] > 0 || len(before) == 1, qt.IsTrue) // the same candidates
+				qt.Check(t, pickedBefore[choice.Endpoint] > 0 || len(pickedBefore) == 1, qt.IsTrue) // the same candidates
 			}
 			picked := map[carawayspread.EndpointID]int{}
 			for range 1000 {
 				picked[router.Pick(&carawayspread.Job{Fingerprint: rand.Uint64()}, free).Endpoint]++
 			}
-			for _, id := range ids { // old load and the crash count no more
+			for _, id := range ids { // old load and the crash no longer count
 				qt.Check(t, picked[id] > 20, qt.IsTrue, qt.Commentf("%s: %d", id, picked[id]))
 			}
 			qt.Check(t, limiter.Limit(), qt.Equals, limit)
 			qt.Check(t, ejector.Allowed(ids[0]), qt.IsTrue)
 			qt.Check(t, budget.Allow(), qt.IsTrue)
-			suspect, _ := memory.Decide(quarantine.Attempt{Fingerprint: 1})
-			convict, _ := memory.Decide(quarantine.Attempt{Fingerprint: 2})
-			qt.Check(t, suspect == quarantine.VerdictRun, qt.Equals, silence > 10*time.Minute)
-			qt.Check(t, convict == quarantine.VerdictRun, qt.Equals, silence > 10*time.Minute)
+			suspect, _ := quarantineState.Decide(quarantine.Attempt{Fingerprint: 1})
+			quarantined, _ := quarantineState.Decide(quarantine.Attempt{Fingerprint: 2})
+			qt.Check(t, suspect == quarantine.VerdictRun, qt.Equals, outage > 10*time.Minute)
+			qt.Check(t, quarantined == quarantine.VerdictRun, qt.Equals, outage > 10*time.Minute)
 		})
 	}
 }
 
-// This process loses its network, so that every endpoint seems to fail. The
-// fleet is never emptied by it, a lone endpoint is never sent away, and one
-// that keeps failing on trial stays away longer each time.
+// Guards against ejecting the whole fleet when this process loses its network, so that every
+// endpoint seems to fail. Ejection never empties the fleet and never ejects a lone endpoint, and an
+// endpoint whose probes keep failing is ejected for longer each time.
 func TestEjectionIsBounded(t *testing.T) {
-	for n, most := range map[int]int{1: 0, 2: 1, 3: 1, 20: 4, 1300: 260} {
+	for n, maxEjected := range map[int]int{1: 0, 2: 1, 3: 1, 20: 4, 1300: 260} {
 		clock := clockwork.NewFakeClock()
 		e := ejection.New(carawayspread.Environment{Clock: clock})
 		var ids []carawayspread.EndpointID
@@ -105,36 +106,36 @@
 			ids = append(ids, carawayspread.EndpointID(fmt.Sprint("e", i)))
 		}
 		e.SetEndpoints(ids)
-		away := 0
+		ejected := 0
 		for _, id := range ids {
 			for range 20 {
 				e.Observe(id, 0, carawayspread.OutcomeFailed)
 			}
 			if !e.Allowed(id) {
-				away++
+				ejected++
 			}
 		}
-		qt.Check(t, away, qt.Equals, most)
-		if most == 0 {
+		qt.Check(t, ejected, qt.Equals, maxEjected)
+		if maxEjected == 0 {
 			continue
 		}
-		last := time.Duration(0)
+		lastEjectedFor := time.Duration(0)
 		for range 4 {
-			took := time.Duration(0)
-			for ; !e.Allowed(ids[0]); took += time.Second {
+			ejectedFor := time.Duration(0)
+			for ; !e.Allowed(ids[0]); ejectedFor += time.Second {
 				clock.Advance(time.Second)
 			}
-			qt.Check(t, took > last, qt.IsTrue)
-			last = took
+			qt.Check(t, ejectedFor > lastEjectedFor, qt.IsTrue)
+			lastEjectedFor = ejectedFor
 			e.Sent(ids[0])
-			qt.Check(t, e.Allowed(ids[0]), qt.IsFalse) // one trial at a time
+			qt.Check(t, e.Allowed(ids[0]), qt.IsFalse) // one probe at a time
 			e.Observe(ids[0], 0, carawayspread.OutcomeFailed)
 		}
 	}
 }
 
-// Half of all attempts fail for a minute, and each failure asks for a retry.
-// Retries stay within a tenth of what succeeds, one a second and the reserve.
+// Guards against retry storms: half of all attempts fail for a minute, and each failure requests a
+// retry. Retries stay within a tenth of the successes, plus one per second and the reserve.
 func TestRetriesAreBounded(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	budget := retrybudget.New(clock)
@@ -153,12 +154,13 @@
 	qt.Check(t, retries >= successes/10+50, qt.IsTrue, qt.Commentf("%d", retries))
 }
 
-// An endpoint slows down tenfold under the same use. Its limit falls to one
-// within a hundred answers and never below, and rises again once it is well.
+// Guards against a concurrency limit that ignores latency: an endpoint becomes ten times slower
+// under the same use. Its limit falls to below 4 within a hundred rounds and never below 1, and
+// rises again once the endpoint recovers.
 func TestLimitFollowsLatency(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	l := gradient.New(carawayspread.Environment{Clock: clock}, gradient.Max(64))
-	use := func(latency time.Duration, times int) int {
+	serve := func(latency time.Duration, times int) int {
 		for range times {
 			for l.Acquire() {
 			}
@@ -169,10 +171,10 @@
 		}
 		return l.Limit()
 	}
-	well := use(10*time.Millisecond, 200)
-	qt.Check(t, well, qt.Equals, 64)
-	slow := use(100*time.Millisecond, 100)
+	healthy := serve(10*time.Millisecond, 200)
+	qt.Check(t, healthy, qt.Equals, 64)
+	slow := serve(100*time.Millisecond, 100)
 	qt.Check(t, slow < 4, qt.IsTrue, qt.Commentf("%d", slow))
 	qt.Check(t, slow >= 1, qt.IsTrue)
-	qt.Check(t, use(10*time.Millisecond, 200), qt.Equals, 64)
+	qt.Check(t, serve(10*time.Millisecond, 200), qt.Equals, 64)
 }
