--- a/internal/decision/rolepolicy/baselines.go
+++ b/internal/decision/rolepolicy/baselines.go
@@ -26,16 +26,16 @@
 	return nil
 }
 
-// thresholdBand is the deviation from the ratio of the load at which threshold
-// changes an engine.
+// thresholdBand is the deviation of the prefill engines' share from the prefill share of the load
+// from which on threshold changes an engine.
 const (
 	thresholdBand    = 0.05
-	thresholdHorizon = time.Minute // for working off what waits
+	thresholdHorizon = time.Minute // in which queued work is to be served
 )
 
-// threshold moves one engine whenever the part of the engines that prefill
-// differs from the prefill part of the load that came since the last plan. It
-// is the rule of thumb that operators script.
+// threshold moves one engine whenever the share of the engines that prefill differs from the
+// prefill share of the load that arrived since the last plan. It is the rule of thumb that
+// operators script.
 type threshold struct{}
 
 func (threshold) Plan(engines []carawayspread.RoleState, demand carawayspread.Demand) []carawayspread.RoleChange {
@@ -44,23 +44,23 @@
 		return nil
 	}
 	work := newLoad(demand, f, thresholdHorizon)
-	if work.work() == 0 {
+	if work.total() == 0 {
 		return nil
 	}
 	total := f.split.total()
-	wanted := min(total-1, max(1, int(math.Round(work.ratio()*float64(total)))))
-	off := float64(wanted-f.split.prefill) / float64(total)
+	wanted := min(total-1, max(1, int(math.Round(work.prefillShare()*float64(total)))))
+	deviation := float64(wanted-f.split.prefill) / float64(total)
 	for _, engine := range f.engines {
 		switch {
-		case off >= thresholdBand && engine.Role != carawayspread.RolePrefill:
-			return change(engine, carawayspread.RolePrefill)
-		case off <= -thresholdBand && engine.Role != carawayspread.RoleDecode:
-			return change(engine, carawayspread.RoleDecode)
+		case deviation >= thresholdBand && engine.Role != carawayspread.RolePrefill:
+			return newChange(engine, carawayspread.RolePrefill)
+		case deviation <= -thresholdBand && engine.Role != carawayspread.RoleDecode:
+			return newChange(engine, carawayspread.RoleDecode)
 		}
 	}
 	return nil
 }
 
-func change(engine carawayspread.RoleState, to carawayspread.Role) []carawayspread.RoleChange {
+func newChange(engine carawayspread.RoleState, to carawayspread.Role) []carawayspread.RoleChange {
 	return []carawayspread.RoleChange{{Endpoint: engine.Endpoint, From: engine.Role, To: to}}
 }
--- a/internal/decision/rolepolicy/fleet.go
+++ b/internal/decision/rolepolicy/fleet.go
@@ -8,12 +8,12 @@
 	"carawayspread"
 )
 
-// fleet is what the engines of a service amount to.
+// fleet summarizes the engines of a service.
 type fleet struct {
 	engines     []carawayspread.RoleState // those that are not leaving
-	split       split                     // those that change are counted as what they become
+	split       split                     // engines that are changing count in their new role
 	changing    int
-	prefillRate float64 // median of the known ones; zero when none is known
+	prefillRate float64 // tokens a second, median of the known rates; zero when none is known
 	decodeRate  float64
 }
 
@@ -26,7 +26,7 @@
 			continue
 		}
 		f.engines = append(f.engines, engine)
-		*f.split.count(engine.Role)++
+		*f.split.counter(engine.Role)++
 		if engine.Changing {
 			f.changing++
 		}
@@ -50,21 +50,20 @@
 	return values[len(values)/2]
 }
 
-// picker hands out the engines that may change, those with least to move
-// first.
+// picker selects the engines that may change, those with the least state to move first.
 type picker struct {
-	byRole  map[carawayspread.Role][]carawayspread.RoleState
-	changed map[carawayspread.EndpointID]time.Time
-	since   time.Time // engines changed later than this keep their role
-	sorted  map[carawayspread.Role]bool
+	byRole         map[carawayspread.Role][]carawayspread.RoleState
+	lastChange     map[carawayspread.EndpointID]time.Time
+	unchangedSince time.Time // engines changed later than this keep their role
+	sorted         map[carawayspread.Role]bool
 }
 
-func newPicker(f fleet, changed map[carawayspread.EndpointID]time.Time, since time.Time) *picker {
+func newPicker(f fleet, lastChange map[carawayspread.EndpointID]time.Time, unchangedSince time.Time) *picker {
 	p := &picker{
-		byRole:  map[carawayspread.Role][]carawayspread.RoleState{},
-		changed: changed,
-		since:   since,
-		sorted:  map[carawayspread.Role]bool{},
+		byRole:         map[carawayspread.Role][]carawayspread.RoleState{},
+		lastChange:     lastChange,
+		unchangedSince: unchangedSince,
+		sorted:         map[carawayspread.Role]bool{},
 	}
 	for _, engine := range f.engines {
 		if !engine.Changing {
@@ -74,13 +73,13 @@
 	return p
 }
 
-// peek returns the engines that a step would change.
-func (p *picker) peek(s step) []carawayspread.RoleState {
-	return p.free(s.from, s.n)
+// forStep returns the engines that a step would change.
+func (p *picker) forStep(s step) []carawayspread.RoleState {
+	return p.eligible(s.from, s.n)
 }
 
-// free returns up to n engines of a role that have kept it long enough.
-func (p *picker) free(role carawayspread.Role, n int) []carawayspread.RoleState {
+// eligible returns up to n engines of a role that have kept it long enough.
+func (p *picker) eligible(role carawayspread.Role, n int) []carawayspread.RoleState {
 	if !p.sorted[role] {
 		slices.SortFunc(p.byRole[role], leastToMove)
 		p.sorted[role] = true
@@ -90,7 +89,7 @@
 		if len(found) == n {
 			break
 		}
-		if !p.changed[engine.Endpoint].After(p.since) {
+		if !p.lastChange[engine.Endpoint].After(p.unchangedSince) {
 			found = append(found, engine)
 		}
 	}
--- a/internal/decision/rolepolicy/load.go
+++ b/internal/decision/rolepolicy/load.go
@@ -7,25 +7,25 @@
 	"carawayspread"
 )
 
-// load is work that arrives, in engine-seconds a second.
+// load is arriving work, in engine-seconds a second.
 type load struct {
-	prefill, decode float64 // sums over the parts; not negative
-	parts           []part
+	prefill, decode float64 // sums over the classes; not negative
+	classes         []classLoad
 }
 
-// part is the load of one class.
-type part struct {
+// classLoad is the load of one class.
+type classLoad struct {
 	class           string
-	gap             float64 // between-token target in seconds; zero means none
+	gap             float64 // target for the time between tokens, in seconds; zero means none
 	prefill, decode float64 // not negative
 }
 
-// newLoad converts a demand by the rates that the fleet was measured at. What
-// waits is counted as coming within the horizon.
+// newLoad converts a demand to engine-seconds by the measured rates of the fleet, which must be
+// positive. Queued work is counted as if it arrived evenly within the horizon.
 func newLoad(demand carawayspread.Demand, f fleet, horizon time.Duration) load {
 	var l load
 	for _, class := range demand.Classes {
-		l.add(part{
+		l.add(classLoad{
 			class:   class.Class.Name(),
 			gap:     class.Class.Target().BetweenTokens().Seconds(),
 			prefill: (class.PrefillTokens + class.QueuedPrefill/horizon.Seconds()) / f.prefillRate,
@@ -35,38 +35,37 @@
 	return l
 }
 
-func (l *load) add(p part) {
+func (l *load) add(p classLoad) {
 	l.prefill += p.prefill
 	l.decode += p.decode
-	l.parts = append(l.parts, p)
+	l.classes = append(l.classes, p)
 }
 
-func (l load) work() float64 { return l.prefill + l.decode }
+func (l load) total() float64 { return l.prefill + l.decode }
 
-// ratio returns the part of the load that is prefill.
-func (l load) ratio() float64 {
-	if l.work() == 0 {
+// prefillShare returns the share of prefill in the load.
+func (l load) prefillShare() float64 {
+	if l.total() == 0 {
 		return 0
 	}
-	return l.prefill / l.work()
+	return l.prefill / l.total()
 }
 
-// part finds a class; it is empty when the class brings nothing.
-func (l load) part(class string) part {
-	for _, p := range l.parts {
+// forClass returns the load of a class, which is empty when no work of the class arrives.
+func (l load) forClass(class string) classLoad {
+	for _, p := range l.classes {
 		if p.class == class {
 			return p
 		}
 	}
-	return part{}
+	return classLoad{}
 }
 
-// combine returns a*l + b*other with the classes and targets of other, and
-// nothing below zero.
+// combine returns a*l + b*other with the classes and targets of other, and no value below zero.
 func (l load) combine(a float64, other load, b float64) load {
 	var sum load
-	for _, p := range other.parts {
-		q := l.part(p.class)
+	for _, p := range other.classes {
+		q := l.forClass(p.class)
 		p.prefill = math.Max(0, a*q.prefill+b*p.prefill)
 		p.decode = math.Max(0, a*q.decode+b*p.decode)
 		sum.add(p)
