--- a/internal/decision/rolebalance/policy.go
+++ b/internal/decision/rolebalance/policy.go
@@ -1,18 +1,17 @@
-// Package rolebalance decides how many engines only read prompts, where the
-// others answer and read as well, more slowly.
+// Package rolebalance decides how many engines of a service only prefill. The others, its decode
+// engines, decode and can prefill as well, more slowly.
 //
-// Load pattern: the work of reading and that of answering differ from what the
-// fleet was split for. Without it, readers are busy and prompts spill over to
-// engines that read them at less than half the speed, between the steps of
-// running answers, while a split with a few more readers would hold both.
+// It is meant for services whose prefill and decode work differs from what the fleet was split for.
+// Without it, prefill engines are busy and prompts spill over to decode engines, which prefill them
+// at less than half the speed between the steps of running answers, while a split with a few more
+// prefill engines would carry both.
 //
-// Readers are to be busy for no more than comfort of their time; as few engines
-// change as bring that about, and none if answers would crowd. A mean of
-// averaged time decides, so that bursts of seconds, which are over before an
-// engine has changed, move nothing.
+// Prefill engines should be busy for no more than targetUtilisation of their time. As few engines
+// change as are needed for that, and none if the decode engines would then have too many answers
+// running. Decisions are based on moving averages, so that bursts of seconds, which are over before
+// an engine has changed, cause no change.
 //
-// With nothing new, or with a demand that was planned for before, nothing
-// changes and the roles stay.
+// Without a new demand, or with one that was planned for before, the roles stay.
 package rolebalance
 
 import (
@@ -25,63 +24,65 @@
 )
 
 const (
-	// memory is the time constant of the means: some bursts, and several times
-	// what a change takes.
-	memory = 20 * time.Second
-	// warm is how long work must have come before anything changes.
-	warm = 4 * time.Second
-	// farOff is the pressure from which a split is wrong whatever comes next:
-	// then warmFar is enough, and part farAtOnce of the engines changes at one time.
-	farOff    = 1.35
-	warmFar   = 600 * time.Millisecond
-	farAtOnce = 0.34
-	// steady is how long a change must have been wanted without a break: an
-	// engine that fails is back or replaced within seconds.
-	steady = 2 * time.Second
+	// averagingTime is the time constant of the moving averages: longer than several bursts, and
+	// several times as long as a change takes.
+	averagingTime = 20 * time.Second
+	// warmUp is how long work must have arrived before anything changes.
+	warmUp = 4 * time.Second
+	// farOffPressure is the pressure from which on a split is wrong whatever arrives next: then
+	// warmUpFarOff is long enough, and maxChangingFarOff is the share of the engines that may
+	// change at one time.
+	farOffPressure    = 1.35
+	warmUpFarOff      = 600 * time.Millisecond
+	maxChangingFarOff = 0.34
+	// wantedFor is how long a change must have been wanted without interruption: an engine that
+	// fails is back or replaced within seconds.
+	wantedFor = 2 * time.Second
 	// staleAfter bounds the age of a demand.
 	staleAfter = 5 * time.Second
-	// comfort is the part of their time that readers may be busy: of the splits
-	// that were tried on two fleets, those with about this much were best
+	// targetUtilisation is the share of their time that prefill engines may be busy: of the splits
+	// that were tried on two fleets, those with about this utilisation were best
 	// (docs/design/roles.md).
-	comfort = 0.6
-	// idle is the part below which a reader fewer is enough, if answers crowd:
-	// so far below comfort that the change does not bring its own undoing.
-	idle = 0.4
-	// crowded is how many answers an engine may have running: a step takes
-	// two thirds longer than alone.
-	crowded = 16
-	// mostReaders is the part of the engines that may only read. With two thirds,
-	// answers missed their targets on both fleets that were tried.
-	mostReaders = 0.5
-	// mostSeparate is the same where answers bear no reading: the answers that are
-	// under way when a split is found are fewer than soon after, and one engine
-	// lost of three would take a third of them.
-	mostSeparate = 0.67
-	// dwell is how long an engine keeps a role at least; the few seconds of a
-	// change are then less than a tenth of it.
+	targetUtilisation = 0.6
+	// lowUtilisation is the utilisation below which one prefill engine fewer is enough, if the
+	// decode engines have too many answers running. It is so far below targetUtilisation that the
+	// change does not cause its own reversal.
+	lowUtilisation = 0.4
+	// maxRunningAnswers is how many answers an engine may have running: with 16 a decode step takes
+	// two thirds longer than with one.
+	maxRunningAnswers = 16
+	// maxPrefillShare is the share of the engines that may only prefill. With two thirds, answers
+	// missed their targets on both fleets that were tried.
+	maxPrefillShare = 0.5
+	// maxPrefillShareSeparate is the same where decode engines must not prefill: when a split is
+	// chosen, fewer answers are running than soon after, and with three decode engines the loss of
+	// one would affect a third of the answers.
+	maxPrefillShareSeparate = 0.67
+	// dwell is the least time that an engine keeps a role; the few seconds of a change are then
+	// less than a tenth of it.
 	dwell = time.Minute
-	// atOnce is the part of the engines that may change at one time.
-	atOnce = 0.125
-	// worth is the part of the pressure that a change must leave at most.
-	worth = 0.95
-	// fewest is how many engines there are at least where roles change: with
-	// fewer, one is too large a part.
-	fewest = 6
+	// maxChangingShare is the share of the engines that may change at one time.
+	maxChangingShare = 0.125
+	// maxRemainingPressure is the share of the pressure that a change may leave at most.
+	maxRemainingPressure = 0.95
+	// minEngines is the least number of engines with which roles change: with fewer, one engine is
+	// too large a share of the fleet.
+	minEngines = 6
 )
 
-// Policy is a carawayspread.RolePolicy that keeps readers comfortable.
+// Policy is a carawayspread.RolePolicy that holds the utilisation of prefill engines near a target.
 type Policy struct {
-	clock   carawayspread.Clock
-	began   time.Time // when work first came; zero before
-	taken   time.Time // of the last demand
-	reading float64   // mean tokens a second
-	running float64   // mean answers at engines that answer
-	wanted  time.Time // since when a change has been wanted; zero when none is
-	seen    map[carawayspread.EndpointID]sighting
+	clock        carawayspread.Clock
+	firstWork    time.Time // when work first arrived; zero before
+	lastTaken    time.Time // when the last demand was measured
+	meanArrivals float64   // prompt tokens a second
+	meanRunning  float64   // answers running on the decode engines
+	wantedSince  time.Time // since when a change has been wanted; zero when none is
+	roles        map[carawayspread.EndpointID]roleRecord
 }
 
-// sighting is a role and since when an engine has had it.
-type sighting struct {
+// roleRecord is the role of an engine and since when it has had it.
+type roleRecord struct {
 	role  carawayspread.Role
 	since time.Time
 }
@@ -90,175 +91,177 @@
 	return New(env)
 })
 
-// New returns a policy that has seen nothing yet.
+// New returns a policy without any observations.
 func New(env carawayspread.Environment) *Policy {
-	return &Policy{clock: env.Clock, seen: map[carawayspread.EndpointID]sighting{}}
+	return &Policy{clock: env.Clock, roles: map[carawayspread.EndpointID]roleRecord{}}
 }
 
-// Plan returns the changes that are worth their price now, often none.
+// Plan returns the changes that are worth their cost now, often none.
 func (p *Policy) Plan(engines []carawayspread.RoleState, demand carawayspread.Demand) []carawayspread.RoleChange {
 	now := p.clock.Now()
-	if !demand.Taken.After(p.taken) || now.Sub(demand.Taken) > staleAfter {
+	if !demand.Taken.After(p.lastTaken) || now.Sub(demand.Taken) > staleAfter {
 		return nil
 	}
-	readers, answerers, busy := p.sort(now, engines)
-	p.follow(demand, answerers)
-	change, far := p.decide(now, readers, answerers)
-	if len(change) == 0 || busy {
-		p.wanted = time.Time{}
+	prefill, decode, changing := p.classify(now, engines)
+	p.updateMeans(demand, decode)
+	change, farOff := p.decide(now, prefill, decode)
+	if len(change) == 0 || changing {
+		p.wantedSince = time.Time{}
 		return nil
 	}
-	if p.wanted.IsZero() {
-		p.wanted = now
+	if p.wantedSince.IsZero() {
+		p.wantedSince = now
 	}
-	if now.Sub(p.wanted) < steady && !far {
+	if now.Sub(p.wantedSince) < wantedFor && !farOff {
 		return nil
 	}
 	return change
 }
 
-// sort splits the engines by role, those that may change first, and reports
-// whether one is changing.
-func (p *Policy) sort(now time.Time, engines []carawayspread.RoleState) (readers, answerers []carawayspread.RoleState, busy bool) {
-	seen := make(map[carawayspread.EndpointID]sighting, len(engines))
+// classify splits the engines by role, those with the fewest running requests first, and reports
+// whether one is changing. Engines that are leaving or changing are in neither list.
+func (p *Policy) classify(now time.Time, engines []carawayspread.RoleState) (prefill, decode []carawayspread.RoleState, changing bool) {
+	roles := make(map[carawayspread.EndpointID]roleRecord, len(engines))
 	for _, engine := range engines {
-		was, known := p.seen[engine.Endpoint]
+		record, known := p.roles[engine.Endpoint]
 		switch {
 		case !known:
-			was = sighting{role: engine.Role, since: now.Add(-dwell)}
-		case was.role != engine.Role:
-			was = sighting{role: engine.Role, since: now}
+			record = roleRecord{role: engine.Role, since: now.Add(-dwell)}
+		case record.role != engine.Role:
+			record = roleRecord{role: engine.Role, since: now}
 		}
-		seen[engine.Endpoint] = was
-		busy = busy || engine.Changing
+		roles[engine.Endpoint] = record
+		changing = changing || engine.Changing
 		if engine.Leaving || engine.Changing {
 			continue
 		}
 		if engine.Role == carawayspread.RolePrefill {
-			readers = append(readers, engine)
+			prefill = append(prefill, engine)
 		} else {
-			answerers = append(answerers, engine)
+			decode = append(decode, engine)
 		}
 	}
-	p.seen = seen
-	for _, of := range [][]carawayspread.RoleState{readers, answerers} {
-		slices.SortFunc(of, func(a, b carawayspread.RoleState) int {
+	p.roles = roles
+	for _, group := range [][]carawayspread.RoleState{prefill, decode} {
+		slices.SortFunc(group, func(a, b carawayspread.RoleState) int {
 			return cmp.Or(cmp.Compare(a.Running, b.Running), cmp.Compare(a.Endpoint, b.Endpoint))
 		})
 	}
-	return readers, answerers, busy
+	return prefill, decode, changing
 }
 
-// follow moves the means. They begin with what comes first, and average all
-// that has come as long as that is less than memory.
-func (p *Policy) follow(demand carawayspread.Demand, answerers []carawayspread.RoleState) {
-	var reading, running float64
+// updateMeans updates the moving averages. They start with the first work, and weight all work
+// evenly until it has arrived for averagingTime.
+func (p *Policy) updateMeans(demand carawayspread.Demand, decode []carawayspread.RoleState) {
+	var arriving, running float64
 	for _, class := range demand.Classes {
-		reading += class.PrefillTokens
+		arriving += class.PrefillTokens
 	}
-	for _, engine := range answerers {
+	for _, engine := range decode {
 		running += float64(engine.Running)
 	}
-	dt := demand.Taken.Sub(p.taken)
-	p.taken = demand.Taken
-	if p.began.IsZero() {
-		if reading > 0 {
-			p.began, p.reading, p.running = demand.Taken, reading, running
+	dt := demand.Taken.Sub(p.lastTaken)
+	p.lastTaken = demand.Taken
+	if p.firstWork.IsZero() {
+		if arriving > 0 {
+			p.firstWork, p.meanArrivals, p.meanRunning = demand.Taken, arriving, running
 		}
 		return
 	}
-	span := min(memory, demand.Taken.Sub(p.began))
+	span := min(averagingTime, demand.Taken.Sub(p.firstWork))
 	weight := 1 - math.Exp(-dt.Seconds()/max(dt.Seconds(), span.Seconds()))
-	p.reading += weight * (reading - p.reading)
-	p.running += weight * (running - p.running)
+	p.meanArrivals += weight * (arriving - p.meanArrivals)
+	p.meanRunning += weight * (running - p.meanRunning)
 }
 
-// pressure is how far a split is from holding all that comes: one where readers
-// are comfortable and answers do not crowd.
-func (p *Policy) pressure(need float64, readers, answerers int) float64 {
-	return max(need/(comfort*float64(readers)), p.running/(crowded*float64(max(1, answerers))))
+// pressure returns how far a split is from carrying the load: at one, the prefill engines are at
+// targetUtilisation or the decode engines have maxRunningAnswers running, whichever is worse. need
+// is in fully busy prefill engines.
+func (p *Policy) pressure(need float64, prefill, decode int) float64 {
+	return max(need/(targetUtilisation*float64(prefill)), p.meanRunning/(maxRunningAnswers*float64(max(1, decode))))
 }
 
-// decide returns the changes wanted by the means, and whether the split is far off.
-func (p *Policy) decide(now time.Time, readers, answerers []carawayspread.RoleState) (changes []carawayspread.RoleChange, far bool) {
-	n, total := len(readers), len(readers)+len(answerers)
-	rate := speed(readers)
-	if total < fewest || n == 0 || rate == 0 || p.began.IsZero() {
+// decide returns the changes that the moving averages call for, and whether the split is far off.
+func (p *Policy) decide(now time.Time, prefill, decode []carawayspread.RoleState) (changes []carawayspread.RoleChange, farOff bool) {
+	n, total := len(prefill), len(prefill)+len(decode)
+	rate := medianRate(prefill)
+	if total < minEngines || n == 0 || rate == 0 || p.firstWork.IsZero() {
 		return nil, false
 	}
-	need := p.reading / rate // readers that would be busy all the time
-	if separate(answerers) {
-		return p.divide(now, need, readers, answerers)
+	need := p.meanArrivals / rate // prefill engines that would be busy all the time
+	if mostlyDecodeOnly(decode) {
+		return p.decideSeparate(now, need, prefill, decode)
 	}
-	if now.Sub(p.began) < warm {
+	if now.Sub(p.firstWork) < warmUp {
 		return nil, false
 	}
-	crowds := func(left int) bool { return p.running > crowded*float64(left) }
+	crowded := func(left int) bool { return p.meanRunning > maxRunningAnswers*float64(left) }
 	want := n
-	for need > comfort*float64(want) && float64(want+1) <= mostReaders*float64(total) && !crowds(total-want-1) {
+	for need > targetUtilisation*float64(want) && float64(want+1) <= maxPrefillShare*float64(total) && !crowded(total-want-1) {
 		want++
 	}
 	if want > n {
-		return p.pick(now, answerers, min(want-n, max(1, int(atOnce*float64(total)))), carawayspread.RolePrefill), false
+		return p.pick(now, decode, min(want-n, max(1, int(maxChangingShare*float64(total)))), carawayspread.RolePrefill), false
 	}
-	if n > 1 && need < idle*float64(n-1) && crowds(total-n) {
-		return p.pick(now, readers, 1, carawayspread.RoleDecode), false
+	if n > 1 && need < lowUtilisation*float64(n-1) && crowded(total-n) {
+		return p.pick(now, prefill, 1, carawayspread.RoleDecode), false
 	}
 	return nil, false
 }
 
-// separate reports whether most engines that answer cannot read beside.
-func separate(answerers []carawayspread.RoleState) bool {
-	only := 0
-	for _, engine := range answerers {
+// mostlyDecodeOnly reports whether most decode engines must not prefill.
+func mostlyDecodeOnly(decode []carawayspread.RoleState) bool {
+	decodeOnly := 0
+	for _, engine := range decode {
 		if engine.AnswersOnly {
-			only++
+			decodeOnly++
 		}
 	}
-	return 2*only > len(answerers)
+	return 2*decodeOnly > len(decode)
 }
 
-// divide returns the changes for engines whose answers bear no reading beside them:
-// all prompts are for the readers, and what they do not hold is late.
-func (p *Policy) divide(now time.Time, need float64, readers, answerers []carawayspread.RoleState) (changes []carawayspread.RoleChange, far bool) {
-	n, total := len(readers), len(readers)+len(answerers)
-	here := p.pressure(need, n, total-n)
-	far = here > farOff && now.Sub(p.began) >= warmFar
-	if here <= 1 || !far && now.Sub(p.began) < warm {
-		return nil, far
+// decideSeparate returns the changes for a fleet whose decode engines must not prefill: prefill
+// engines get all prompts, and those beyond their capacity are late.
+func (p *Policy) decideSeparate(now time.Time, need float64, prefill, decode []carawayspread.RoleState) (changes []carawayspread.RoleChange, farOff bool) {
+	n, total := len(prefill), len(prefill)+len(decode)
+	current := p.pressure(need, n, total-n)
+	farOff = current > farOffPressure && now.Sub(p.firstWork) >= warmUpFarOff
+	if current <= 1 || !farOff && now.Sub(p.firstWork) < warmUp {
+		return nil, farOff
 	}
-	want, least := n, here
-	for m := 1; float64(m) <= mostSeparate*float64(total); m++ {
-		if there := p.pressure(need, m, total-m); there < worth*least {
-			want, least = m, there
+	want, least := n, current
+	for m := 1; float64(m) <= maxPrefillShareSeparate*float64(total); m++ {
+		if candidate := p.pressure(need, m, total-m); candidate < maxRemainingPressure*least {
+			want, least = m, candidate
 		}
 	}
-	share := atOnce
-	if far {
-		share = farAtOnce
+	share := maxChangingShare
+	if farOff {
+		share = maxChangingFarOff
 	}
-	most := max(1, int(share*float64(total)))
+	limit := max(1, int(share*float64(total)))
 	if want > n {
-		return p.pick(now, answerers, min(want-n, most), carawayspread.RolePrefill), far
+		return p.pick(now, decode, min(want-n, limit), carawayspread.RolePrefill), farOff
 	}
-	return p.pick(now, readers, min(n-want, 1), carawayspread.RoleDecode), far
+	return p.pick(now, prefill, min(n-want, 1), carawayspread.RoleDecode), farOff
 }
 
 // pick returns changes of up to n engines that have kept their role long enough.
 func (p *Policy) pick(now time.Time, from []carawayspread.RoleState, n int, to carawayspread.Role) []carawayspread.RoleChange {
 	var changes []carawayspread.RoleChange
 	for _, engine := range from {
-		if len(changes) < n && now.Sub(p.seen[engine.Endpoint].since) >= dwell {
+		if len(changes) < n && now.Sub(p.roles[engine.Endpoint].since) >= dwell {
 			changes = append(changes, carawayspread.RoleChange{Endpoint: engine.Endpoint, From: engine.Role, To: to})
 		}
 	}
 	return changes
 }
 
-// speed returns the middle speed of the readers in tokens a second.
-func speed(readers []carawayspread.RoleState) float64 {
+// medianRate returns the median of the known prefill rates in tokens a second; zero when none is
+// known.
+func medianRate(prefill []carawayspread.RoleState) float64 {
 	var rates []float64
-	for _, engine := range readers {
+	for _, engine := range prefill {
 		if engine.PrefillRate > 0 {
 			rates = append(rates, engine.PrefillRate)
 		}
