--- a/internal/decision/overload/scheduler_test.go
+++ b/internal/decision/overload/scheduler_test.go
@@ -48,7 +48,7 @@
 	for name, load := range map[string]float64{"1.2": 1.2, "2": 2, "5": 5} {
 		t.Run(name, func(t *testing.T) {
 			run := func(m modules, load float64) tally {
-				sim := newWorld(m, 2, engines)
+				sim := newSimulation(m, 2, engines)
 				sim.addWorkloads(rulingWorkloads(engines, load, duration)...)
 				sim.runToCompletion(duration)
 				t.Logf("%s load %g: %+v jain %.3f", m.scheduler, load, sim.sum(nil), sim.jain())
@@ -75,7 +75,7 @@
 }
 
 func (s scenario) run(t *testing.T, m modules) *simulation {
-	sim := newWorld(m, 2, s.engines)
+	sim := newSimulation(m, 2, s.engines)
 	s.load(sim)
 	sim.runToCompletion(s.duration)
 	total := sim.sum(nil)
@@ -174,7 +174,7 @@
 // refused; the in-flight window uses the slots that the other entries leave free.
 func TestOneBusyEntry(t *testing.T) {
 	const duration = 30 * time.Second
-	sim := newWorld(defaultModules, 6, 8)
+	sim := newSimulation(defaultModules, 6, 8)
 	sim.skew = true
 	sim.addWorkloads(rulingWorkloads(8, 0.8, duration)...)
 	sim.runToCompletion(duration)
--- a/internal/decision/overload/simulation_test.go
+++ b/internal/decision/overload/simulation_test.go
@@ -341,7 +341,7 @@
 	n.dispatch()
 }
 
-func newWorld(m modules, entries, engines int) *simulation {
+func newSimulation(m modules, entries, engines int) *simulation {
 	sim := &simulation{
 		now:            time.Unix(1_000_000, 0),
 		random:         rand.New(rand.NewPCG(1, 2)),
