--- a/internal/decision/overload/crash_test.go
+++ b/internal/decision/overload/crash_test.go
@@ -137,7 +137,7 @@
 		if n.fleet.noQuarantine {
 			return choice.Endpoint, false, n.fleet.workers[choice.Endpoint].run(job, choice.Endpoint, false)
 		}
-		verdict, refusal := n.quarantine.Decide(quarantine.Attempt{Fingerprint: job.Fingerprint, Displaced: choice.Displaced})
+		verdict, refusal := n.quarantine.Decide(quarantine.Attempt{Fingerprint: job.Fingerprint, Displaced: choice.OutsideAffinity})
 		if refusal != nil {
 			return "", false, refusal
 		}
@@ -162,7 +162,7 @@
 	crashed = append(crashed, n.quarantine.Crashes(job.Fingerprint)...)
 	choice := n.pick(job, crashed)
 	refusal = newRefusal(carawayspread.CodeSuspect)
-	if choice.Endpoint != "" && (!choice.Displaced || len(crashed) == 0) {
+	if choice.Endpoint != "" && (!choice.OutsideAffinity || len(crashed) == 0) {
 		refusal = n.fleet.workers[choice.Endpoint].run(job, choice.Endpoint, true)
 	}
 	if refusal != nil {
@@ -172,11 +172,11 @@
 }
 
 func (n *node) pick(job *carawayspread.Job, excluded []carawayspread.EndpointID) carawayspread.Choice {
-	return n.router.Pick(job, func(id carawayspread.EndpointID) carawayspread.Standing {
+	return n.router.Pick(job, func(id carawayspread.EndpointID) carawayspread.Availability {
 		if w := n.fleet.workers[id]; w == nil || !w.up || slices.Contains(excluded, id) {
-			return carawayspread.StandingOut
+			return carawayspread.AvailabilityExcluded
 		}
-		return carawayspread.StandingFree
+		return carawayspread.AvailabilityFree
 	})
 }
 
--- a/internal/decision/overload/simulation_test.go
+++ b/internal/decision/overload/simulation_test.go
@@ -199,8 +199,8 @@
 	return true
 }
 
-func (e *engine) report() carawayspread.Report {
-	return carawayspread.Report{Endpoint: e.id, Taken: e.sim.now, Running: e.running, Waiting: len(e.waiting), Slots: e.slots}
+func (e *engine) report() carawayspread.EndpointReport {
+	return carawayspread.EndpointReport{Endpoint: e.id, MeasuredAt: e.sim.now, Running: e.running, Waiting: len(e.waiting), Slots: e.slots}
 }
 
 func (e *engine) durations(job *carawayspread.Job) (first, whole time.Duration) {
@@ -256,14 +256,14 @@
 func (n *entry) place(job *carawayspread.Job) {
 	full := map[carawayspread.EndpointID]bool{}
 	for {
-		choice := n.router.Pick(job, func(id carawayspread.EndpointID) carawayspread.Standing {
+		choice := n.router.Pick(job, func(id carawayspread.EndpointID) carawayspread.Availability {
 			if !n.ejector.Allowed(id) {
-				return carawayspread.StandingOut
+				return carawayspread.AvailabilityExcluded
 			}
 			if full[id] || !n.hasCapacity(id) {
-				return carawayspread.StandingBusy
+				return carawayspread.AvailabilityBusy
 			}
-			return carawayspread.StandingFree
+			return carawayspread.AvailabilityFree
 		})
 		if choice.Endpoint == "" {
 			n.scheduler.Requeue(job)
@@ -315,7 +315,7 @@
 	n.limiters[id].Release(latency, carawayspread.OutcomeServed)
 	n.ejector.Observe(id, latency, carawayspread.OutcomeServed)
 	n.retryBudget.Succeeded()
-	n.scheduler.Done(job, carawayspread.Served{Cost: job.Cost, FirstToken: first, Took: took})
+	n.scheduler.Done(job, carawayspread.JobResult{Cost: job.Cost, FirstToken: first, Took: took})
 	n.sim.answers[job]++
 	t, target := n.sim.tally(job.Workspace, job.Class.Name()), job.Class.Target()
 	got := n.sim.now.Sub(job.Arrived)
@@ -333,7 +333,7 @@
 	n.router.Ended(id, job, carawayspread.OutcomeFailed)
 	n.limiters[id].Release(0, carawayspread.OutcomeFailed)
 	n.ejector.Observe(id, 0, carawayspread.OutcomeFailed)
-	n.scheduler.Done(job, carawayspread.Served{})
+	n.scheduler.Done(job, carawayspread.JobResult{})
 	if !n.retryBudget.Allow() || n.scheduler.Offer(job) != nil {
 		n.sim.tally(job.Workspace, job.Class.Name()).failed++
 		n.sim.answers[job]++
--- a/internal/decision/rolebalance/policy.go
+++ b/internal/decision/rolebalance/policy.go
@@ -99,7 +99,7 @@
 // Plan returns the changes that are worth their cost now, often none.
 func (p *Policy) Plan(engines []carawayspread.RoleState, demand carawayspread.Demand) []carawayspread.RoleChange {
 	now := p.clock.Now()
-	if !demand.Taken.After(p.lastTaken) || now.Sub(demand.Taken) > staleAfter {
+	if !demand.MeasuredAt.After(p.lastTaken) || now.Sub(demand.MeasuredAt) > staleAfter {
 		return nil
 	}
 	prefill, decode, changing := p.classify(now, engines)
@@ -160,15 +160,15 @@
 	for _, engine := range decode {
 		running += float64(engine.Running)
 	}
-	dt := demand.Taken.Sub(p.lastTaken)
-	p.lastTaken = demand.Taken
+	dt := demand.MeasuredAt.Sub(p.lastTaken)
+	p.lastTaken = demand.MeasuredAt
 	if p.firstWork.IsZero() {
 		if arriving > 0 {
-			p.firstWork, p.meanArrivals, p.meanRunning = demand.Taken, arriving, running
+			p.firstWork, p.meanArrivals, p.meanRunning = demand.MeasuredAt, arriving, running
 		}
 		return
 	}
-	span := min(averagingTime, demand.Taken.Sub(p.firstWork))
+	span := min(averagingTime, demand.MeasuredAt.Sub(p.firstWork))
 	weight := 1 - math.Exp(-dt.Seconds()/max(dt.Seconds(), span.Seconds()))
 	p.meanArrivals += weight * (arriving - p.meanArrivals)
 	p.meanRunning += weight * (running - p.meanRunning)
@@ -213,7 +213,7 @@
 func mostlyDecodeOnly(decode []carawayspread.RoleState) bool {
 	decodeOnly := 0
 	for _, engine := range decode {
-		if engine.AnswersOnly {
+		if engine.PrefillDelaysDecode {
 			decodeOnly++
 		}
 	}
--- a/internal/decision/rolebalance/policy_test.go
+++ b/internal/decision/rolebalance/policy_test.go
@@ -59,12 +59,12 @@
 			engine := &h.engines[i]
 			engine.Changing = now.Before(h.changeEnds[engine.Endpoint])
 			engine.Running = 0
-			engine.AnswersOnly = h.decodeOnly && engine.Role != carawayspread.RolePrefill
+			engine.PrefillDelaysDecode = h.decodeOnly && engine.Role != carawayspread.RolePrefill
 			if engine.Role != carawayspread.RolePrefill {
 				engine.Running = int(running) / max(1, decode)
 			}
 		}
-		for _, change := range h.policy.Plan(h.engines, carawayspread.Demand{Taken: now, Classes: []carawayspread.ClassDemand{{PrefillTokens: prefillLoad * prefillRatePerEngine}}}) {
+		for _, change := range h.policy.Plan(h.engines, carawayspread.Demand{MeasuredAt: now, Classes: []carawayspread.ClassDemand{{PrefillTokens: prefillLoad * prefillRatePerEngine}}}) {
 			h.changes++
 			h.changeEnds[change.Endpoint] = now.Add(6 * time.Second)
 			for i := range h.engines {
@@ -189,7 +189,7 @@
 	taken := h.clock.Now()
 	for range 600 {
 		h.clock.Advance(time.Second)
-		plan := h.policy.Plan(h.engines, carawayspread.Demand{Taken: taken, Classes: []carawayspread.ClassDemand{{PrefillTokens: 9 * prefillRatePerEngine}}})
+		plan := h.policy.Plan(h.engines, carawayspread.Demand{MeasuredAt: taken, Classes: []carawayspread.ClassDemand{{PrefillTokens: 9 * prefillRatePerEngine}}})
 		qt.Assert(t, plan, qt.HasLen, 0)
 	}
 }
--- a/internal/decision/rolepolicy/rolepolicy.go
+++ b/internal/decision/rolepolicy/rolepolicy.go
@@ -95,10 +95,10 @@
 // reports resume.
 func (p *Policy) Plan(engines []carawayspread.RoleState, demand carawayspread.Demand) []carawayspread.RoleChange {
 	now := p.clock.Now()
-	if !demand.Taken.After(p.lastTaken) || now.Sub(demand.Taken) > staleAfter {
+	if !demand.MeasuredAt.After(p.lastTaken) || now.Sub(demand.MeasuredAt) > staleAfter {
 		return nil
 	}
-	p.lastTaken = demand.Taken
+	p.lastTaken = demand.MeasuredAt
 	p.prune(engines)
 	fleet := newFleet(engines)
 	if fleet.prefillRate == 0 || fleet.decodeRate == 0 {
@@ -106,7 +106,7 @@
 	}
 	model := model{prefillStall: p.prefillStall, baseGap: p.baseGap.Seconds(), tightestGap: tightestGap(demand.Classes, p.baseGap)}
 	work := newLoad(demand, fleet, p.forecast.persistence(now))
-	dt := p.forecast.observe(demand.Taken, work)
+	dt := p.forecast.observe(demand.MeasuredAt, work)
 	p.margin.observe(now, dt, model, work)
 
 	expected := p.forecast.extrapolate(p.downtime)
--- a/internal/decision/rolepolicy/rolepolicy_test.go
+++ b/internal/decision/rolepolicy/rolepolicy_test.go
@@ -65,7 +65,7 @@
 // demand is a mix of long prompts under one target and short answers.
 func (h *harness) demand(long carawayspread.Target, prefill, decode float64) carawayspread.Demand {
 	n := float64(len(h.engines))
-	return carawayspread.Demand{Taken: h.clock.Now(), Classes: []carawayspread.ClassDemand{
+	return carawayspread.Demand{MeasuredAt: h.clock.Now(), Classes: []carawayspread.ClassDemand{
 		{Class: carawayspread.NewClass("long", long, false), PrefillTokens: 8000 * n * prefill, DecodeTokens: 1000 * n * .05},
 		{Class: carawayspread.NewClass("short", shortTarget, false), PrefillTokens: 8000 * n * .04, DecodeTokens: 1000 * n * decode},
 	}}
@@ -74,7 +74,7 @@
 // planOnce plans once, carries out the changes, and returns how many there were.
 func (h *harness) planOnce(demand carawayspread.Demand) int {
 	h.clock.Advance(planInterval)
-	demand.Taken = h.clock.Now()
+	demand.MeasuredAt = h.clock.Now()
 	now := h.clock.Now()
 	for i := range h.engines {
 		h.engines[i].Changing = now.Before(h.changingUntil[h.engines[i].Endpoint])
@@ -121,7 +121,7 @@
 			for range 60 {
 				h.clock.Advance(planInterval)
 				demand := h.demand(batchTarget, .6, .2)
-				demand.Taken = h.clock.Now().Add(-test.age)
+				demand.MeasuredAt = h.clock.Now().Add(-test.age)
 				if test.twice {
 					h.policy.Plan(nil, demand)
 				}
@@ -298,7 +298,7 @@
 			for i := range b.N {
 				h.clock.Advance(planInterval)
 				demand := demands[i/50%2]
-				demand.Taken = h.clock.Now()
+				demand.MeasuredAt = h.clock.Now()
 				h.policy.Plan(h.engines, demand)
 			}
 		})
