--- a/internal/decision/rolebalance/policy.go
+++ b/internal/decision/rolebalance/policy.go
@@ -72,13 +72,13 @@
 
 // Policy is a carawayspread.RolePolicy that holds the utilisation of prefill engines near a target.
 type Policy struct {
-	clock        carawayspread.Clock
-	firstWork    time.Time // when work first arrived; zero before
-	lastTaken    time.Time // when the last demand was measured
-	meanArrivals float64   // prompt tokens a second
-	meanRunning  float64   // answers running on the decode engines
-	wantedSince  time.Time // since when a change has been wanted; zero when none is
-	roles        map[carawayspread.EndpointID]roleRecord
+	clock          carawayspread.Clock
+	firstWork      time.Time // when work first arrived; zero before
+	lastMeasuredAt time.Time // when the last demand was measured
+	meanArrivals   float64   // prompt tokens a second
+	meanRunning    float64   // answers running on the decode engines
+	wantedSince    time.Time // since when a change has been wanted; zero when none is
+	roles          map[carawayspread.EndpointID]roleRecord
 }
 
 // roleRecord is the role of an engine and since when it has had it.
@@ -99,7 +99,7 @@
 // Plan returns the changes that are worth their cost now, often none.
 func (p *Policy) Plan(engines []carawayspread.RoleState, demand carawayspread.Demand) []carawayspread.RoleChange {
 	now := p.clock.Now()
-	if !demand.MeasuredAt.After(p.lastTaken) || now.Sub(demand.MeasuredAt) > staleAfter {
+	if !demand.MeasuredAt.After(p.lastMeasuredAt) || now.Sub(demand.MeasuredAt) > staleAfter {
 		return nil
 	}
 	prefill, decode, changing := p.classify(now, engines)
@@ -160,8 +160,8 @@
 	for _, engine := range decode {
 		running += float64(engine.Running)
 	}
-	dt := demand.MeasuredAt.Sub(p.lastTaken)
-	p.lastTaken = demand.MeasuredAt
+	dt := demand.MeasuredAt.Sub(p.lastMeasuredAt)
+	p.lastMeasuredAt = demand.MeasuredAt
 	if p.firstWork.IsZero() {
 		if arriving > 0 {
 			p.firstWork, p.meanArrivals, p.meanRunning = demand.MeasuredAt, arriving, running
--- a/internal/decision/rolebalance/policy_test.go
+++ b/internal/decision/rolebalance/policy_test.go
@@ -186,10 +186,10 @@
 	qt.Assert(t, before, qt.Equals, 2)
 	h = newHarness(6, 12)
 	h.run(5*time.Second, 4.6, 110)
-	taken := h.clock.Now()
+	measuredAt := h.clock.Now()
 	for range 600 {
 		h.clock.Advance(time.Second)
-		plan := h.policy.Plan(h.engines, carawayspread.Demand{MeasuredAt: taken, Classes: []carawayspread.ClassDemand{{PrefillTokens: 9 * prefillRatePerEngine}}})
+		plan := h.policy.Plan(h.engines, carawayspread.Demand{MeasuredAt: measuredAt, Classes: []carawayspread.ClassDemand{{PrefillTokens: 9 * prefillRatePerEngine}}})
 		qt.Assert(t, plan, qt.HasLen, 0)
 	}
 }
--- a/internal/decision/rolepolicy/rolepolicy.go
+++ b/internal/decision/rolepolicy/rolepolicy.go
@@ -47,12 +47,12 @@
 	prefillStall float64       // in [0, 1)
 	transferRate float64       // bytes a second, positive
 
-	lastTaken  time.Time // when the last demand that was planned for was measured
-	forecast   forecast
-	margin     margin
-	credit     float64 // changes that may be made; not negative
-	history    history
-	lastChange map[carawayspread.EndpointID]time.Time // of each engine
+	lastMeasuredAt time.Time // when the last demand that was planned for was measured
+	forecast       forecast
+	margin         margin
+	credit         float64 // changes that may be made; not negative
+	history        history
+	lastChange     map[carawayspread.EndpointID]time.Time // of each engine
 }
 
 // Option sets a parameter of a Policy.
@@ -95,10 +95,10 @@
 // reports resume.
 func (p *Policy) Plan(engines []carawayspread.RoleState, demand carawayspread.Demand) []carawayspread.RoleChange {
 	now := p.clock.Now()
-	if !demand.MeasuredAt.After(p.lastTaken) || now.Sub(demand.MeasuredAt) > staleAfter {
+	if !demand.MeasuredAt.After(p.lastMeasuredAt) || now.Sub(demand.MeasuredAt) > staleAfter {
 		return nil
 	}
-	p.lastTaken = demand.MeasuredAt
+	p.lastMeasuredAt = demand.MeasuredAt
 	p.prune(engines)
 	fleet := newFleet(engines)
 	if fleet.prefillRate == 0 || fleet.decodeRate == 0 {
