--- a/internal/controller/usagereporter/world_test.go
+++ b/internal/controller/usagereporter/world_test.go
@@ -22,7 +22,7 @@
 
 var (
 	errDown = errors.New("no answer")
-	terms   = carawayspread.NewUsageTerms(5*time.Second, 10*time.Second)
+	terms   = carawayspread.NewUsageWindows(5*time.Second, 10*time.Second)
 )
 
 // memory is a table that several processes share.
--- a/internal/version/gatewaysettings/settings.go
+++ b/internal/version/gatewaysettings/settings.go
@@ -170,7 +170,7 @@
 	address := usage.Need("address").Address()
 	length := usage.Need("window").Duration(time.Second, maxWindow)
 	due := usage.Need("due").Duration(time.Second, maxWindow)
-	s.usage = &Usage{address: address, terms: carawayspread.NewUsageTerms(max(length, time.Second), due)}
+	s.usage = &Usage{address: address, terms: carawayspread.NewUsageWindows(max(length, time.Second), due)}
 }
 
 // Usage returns where usage is reported; nil where it is not.
--- a/usage.go
+++ b/usage.go
@@ -65,9 +65,9 @@
 	due    time.Duration
 }
 
-// NewUsageTerms returns the terms of windows of that length, whose reports are due so
+// NewUsageWindows returns the terms of windows of that length, whose reports are due so
 // long after their end. Both are positive.
-func NewUsageTerms(length, due time.Duration) UsageWindows { return UsageWindows{length, due} }
+func NewUsageWindows(length, due time.Duration) UsageWindows { return UsageWindows{length, due} }
 
 // Length returns the length of a window.
 func (t UsageWindows) Length() time.Duration { return t.length }
