--- a/class.go
+++ b/class.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// Target states how promptly and how completely the answers of a class must
-// arrive. A zero duration states nothing about that part.
+// Target is the service-level objective of a class: the longest times to the first token, between
+// tokens and to the whole answer, and the share of answers that must meet them. A zero duration
+// sets no limit.
 type Target struct {
 	firstToken    time.Duration // from arrival to the first token; not negative
-	betweenTokens time.Duration // mean gap between tokens of one answer; not negative
+	betweenTokens time.Duration // mean inter-token latency of one answer; not negative
 	whole         time.Duration // from arrival to the whole answer; not negative
-	share         float64       // the share of answers that must meet it; in (0, 1]
+	share         float64       // fraction of answers that must meet the target; in (0, 1]
 }
 
-// NewTarget returns a target. The share is a fraction in (0, 1].
+// NewTarget returns a target. The durations must not be negative, and the share must be in (0, 1].
 func NewTarget(firstToken, betweenTokens, whole time.Duration, share float64) Target {
 	return Target{firstToken: firstToken, betweenTokens: betweenTokens, whole: whole, share: share}
 }
@@ -19,7 +20,7 @@
 // FirstToken returns the longest time from arrival to the first token.
 func (t Target) FirstToken() time.Duration { return t.firstToken }
 
-// BetweenTokens returns the longest mean gap between tokens.
+// BetweenTokens returns the longest mean inter-token latency.
 func (t Target) BetweenTokens() time.Duration { return t.betweenTokens }
 
 // Whole returns the longest time from arrival to the whole answer.
@@ -28,8 +29,8 @@
 // Share returns the fraction of answers that must meet the target.
 func (t Target) Share() float64 { return t.share }
 
-// Latest returns the last moment at which a request that arrived then may get
-// its first byte, or its whole answer where the class has no first-token target.
+// Latest returns the latest time at which a request with that arrival time may get its first
+// byte, or its whole answer if the class has no first-token target.
 func (t Target) Latest(arrived time.Time) time.Time {
 	if t.firstToken > 0 {
 		return arrived.Add(t.firstToken)
@@ -37,11 +38,11 @@
 	return arrived.Add(t.whole)
 }
 
-// Class is a kind of work with the target that operators state for it.
+// Class is a service class: a kind of work with the target that operators set for it.
 type Class struct {
 	name       string // unique in a configuration, not empty
 	target     Target
-	atMostOnce bool // its requests must never run twice
+	atMostOnce bool // its requests must never run more than once
 }
 
 // NewClass returns a class.
@@ -52,8 +53,8 @@
 // Name returns the name of the class.
 func (c Class) Name() string { return c.name }
 
-// Target returns what operators state for the class.
+// Target returns the target that operators set for the class.
 func (c Class) Target() Target { return c.target }
 
-// AtMostOnce reports whether requests of the class must never run twice.
+// AtMostOnce reports whether a request of the class must never run more than once.
 func (c Class) AtMostOnce() bool { return c.atMostOnce }
--- a/clock.go
+++ b/clock.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Clock tells the time and wakes its caller later.
+// Clock returns the current time and signals when a duration has passed.
 //
-// Code that decides or waits takes a Clock instead of calling package time, so
-// that tests advance time themselves. The clocks of clockwork satisfy it.
+// Code that depends on time takes a Clock instead of calling package time, so that tests can
+// advance the time themselves. The clocks of package clockwork implement it.
 type Clock interface {
 	// Now returns the current time with its monotonic reading.
 	Now() time.Time
@@ -15,7 +15,7 @@
 
 type systemClock struct{}
 
-// SystemClock returns the clock of the operating system.
+// SystemClock returns a Clock backed by package time.
 func SystemClock() Clock { return systemClock{} }
 
 func (systemClock) Now() time.Time                         { return time.Now() }
--- a/config.go
+++ b/config.go
@@ -7,26 +7,26 @@
 	"github.com/google/btree"
 )
 
-// workspaceDegree is the fan-out of the tree of workspaces. A change copies one
-// path of nodes; 16 keeps that near 2 KB at thousands of workspaces.
-const workspaceDegree = 16
+// workspaceTreeDegree is the degree of the B-tree of workspaces. A change copies the nodes on one
+// path from the root; a degree of 16 keeps that near 2 KB with thousands of workspaces.
+const workspaceTreeDegree = 16
 
-// Version numbers the accepted configurations. Each accepted change raises it
-// by one; zero means that no configuration is known.
+// Version is the number of an accepted configuration. Each accepted change raises it by one; zero
+// means that no configuration is known.
 type Version uint64
 
-// Workspace is a group that shares the fleet. It has no weight: shares follow
-// from the targets and from measured work.
+// Workspace is one of the groups that share the fleet. It has no weight: its share of the fleet
+// follows from the targets and from the measured work.
 type Workspace struct {
 	name        string // unique in a configuration, not empty
-	priority    int    // 0 is the most urgent; meaningless unless hasPriority
+	priority    int    // 0 is the most urgent; ignored unless hasPriority
 	hasPriority bool
 }
 
 // WorkspaceOption sets an optional part of a Workspace.
 type WorkspaceOption func(*Workspace)
 
-// WithPriority states a priority that goes before that of the route.
+// WithPriority sets a priority that overrides that of the route.
 func WithPriority(priority int) WorkspaceOption {
 	return func(w *Workspace) { w.priority, w.hasPriority = priority, true }
 }
@@ -40,8 +40,8 @@
 	return w
 }
 
-// Priority returns the workspace's own priority, or that of the route where it has
-// none. 0 is the most urgent.
+// Priority returns the workspace's own priority, or that of the route if the workspace has none.
+// 0 is the most urgent.
 func (w Workspace) Priority(ofRoute int) int {
 	if w.hasPriority {
 		return w.priority
@@ -52,22 +52,21 @@
 // Name returns the name of the workspace.
 func (w Workspace) Name() string { return w.name }
 
-// Config is one accepted configuration. It is immutable: readers on the path
-// of a request hold the one that was current when the request arrived.
+// Config is one accepted configuration. It is immutable: a request is handled under the
+// configuration that was current when it arrived.
 type Config struct {
 	version  Version
 	classes  map[string]Class
 	services map[string]Service
-	byModel  map[string]string // model to the name of the service that offers it
-	// workspaces shares its untouched nodes with earlier and later versions.
+	byModel  map[string]string // name of the service that offers each model
+	// workspaces shares its unmodified nodes with the trees of earlier and later versions.
 	workspaces *btree.BTreeG[Workspace]
-	// cloneMu guards Clone, which marks the nodes of both trees as shared.
-	// Lookups need no lock.
+	// cloneMu guards Clone, which marks the nodes of both trees as shared. Lookups need no lock.
 	cloneMu sync.Mutex
 }
 
-// Edit is what the next version of a configuration replaces. Its maps and
-// slices must not be modified afterwards.
+// Edit is the difference between a configuration and its next version. Its maps and slices must
+// not be modified afterwards.
 type Edit struct {
 	Classes          map[string]Class   // all classes; nil keeps them
 	Services         map[string]Service // all services; nil keeps them
@@ -75,20 +74,20 @@
 	DeleteWorkspaces []string
 }
 
-// NewConfig returns the configuration with that version. The maps are keyed by
-// name and must not be modified afterwards.
+// NewConfig returns a configuration with that version. The maps are keyed by name and must not be
+// modified afterwards.
 func NewConfig(version Version, classes map[string]Class, workspaces map[string]Workspace, services map[string]Service) *Config {
-	tree := btree.NewG(workspaceDegree, func(a, b Workspace) bool { return a.name < b.name })
+	tree := btree.NewG(workspaceTreeDegree, func(a, b Workspace) bool { return a.name < b.name })
 	for _, workspace := range workspaces {
 		tree.ReplaceOrInsert(workspace)
 	}
 	return &Config{
 		version: version, classes: classes, services: services,
-		byModel: modelsOf(services), workspaces: tree,
+		byModel: serviceByModel(services), workspaces: tree,
 	}
 }
 
-func modelsOf(services map[string]Service) map[string]string {
+func serviceByModel(services map[string]Service) map[string]string {
 	byModel := map[string]string{}
 	for name, service := range services {
 		for _, model := range service.models {
@@ -98,8 +97,8 @@
 	return byModel
 }
 
-// Next returns a configuration with that version that differs by the edit and
-// shares everything else.
+// Next returns the configuration with that version that results from the edit. It shares
+// everything that the edit does not change.
 func (c *Config) Next(version Version, edit Edit) *Config {
 	next := &Config{
 		version: version, classes: c.classes, services: c.services,
@@ -110,7 +109,7 @@
 	}
 	if edit.Services != nil {
 		next.services = edit.Services
-		next.byModel = modelsOf(edit.Services)
+		next.byModel = serviceByModel(edit.Services)
 	}
 	if len(edit.SetWorkspaces) == 0 && len(edit.DeleteWorkspaces) == 0 {
 		return next
@@ -131,27 +130,27 @@
 	return c.workspaces.Clone()
 }
 
-// Version returns the number of the configuration.
+// Version returns the version of the configuration.
 func (c *Config) Version() Version { return c.version }
 
-// Class finds a class by name.
+// Class returns the class with that name.
 func (c *Config) Class(name string) (Class, bool) {
 	class, ok := c.classes[name]
 	return class, ok
 }
 
-// Workspace finds a workspace by name.
+// Workspace returns the workspace with that name.
 func (c *Config) Workspace(name string) (Workspace, bool) {
 	return c.workspaces.Get(Workspace{name: name})
 }
 
-// Service finds a service by name.
+// Service returns the service with that name.
 func (c *Config) Service(name string) (Service, bool) {
 	service, ok := c.services[name]
 	return service, ok
 }
 
-// ServiceOfModel finds the service that offers a model.
+// ServiceOfModel returns the service that offers the model.
 func (c *Config) ServiceOfModel(model string) (Service, bool) {
 	name, ok := c.byModel[model]
 	if !ok {
@@ -161,7 +160,7 @@
 }
 
 // Classes returns the classes ordered by name.
-func (c *Config) Classes() []Class { return sorted(c.classes) }
+func (c *Config) Classes() []Class { return sortedByName(c.classes) }
 
 // Workspaces returns the workspaces ordered by name.
 func (c *Config) Workspaces() []Workspace {
@@ -174,7 +173,7 @@
 }
 
 // Services returns the services ordered by name.
-func (c *Config) Services() []Service { return sorted(c.services) }
+func (c *Config) Services() []Service { return sortedByName(c.services) }
 
 // Models returns the names of all offered models in alphabetical order.
 func (c *Config) Models() []string {
@@ -186,7 +185,7 @@
 	return models
 }
 
-func sorted[T any](byName map[string]T) []T {
+func sortedByName[T any](byName map[string]T) []T {
 	names := make([]string, 0, len(byName))
 	for name := range byName {
 		names = append(names, name)
--- a/decisions.go
+++ b/decisions.go
@@ -5,186 +5,182 @@
 	"time"
 )
 
-// Environment is what a process gives to each of its decision modules.
+// Environment holds what a process passes to the constructors of its decision modules.
 type Environment struct {
 	Clock Clock
-	// Rand seeds the module. Only construction and modules whose callers
-	// serialise their calls draw from it.
+	// Rand is the module's source of randomness. It is not safe for concurrent use: only
+	// constructors and modules whose callers serialise their calls draw from it.
 	Rand *rand.Rand
-	Zone string // availability zone of the process; empty when it does not matter
-	// Broadcast passes a notice on to the peers; nil where there are none. It does
-	// not block.
+	Zone string // availability zone of the process; empty if zones are ignored
+	// Broadcast sends a load update to the peers without blocking; nil if there are no peers.
 	Broadcast func(LoadUpdate)
 }
 
-// Registries of the decision modules. An implementation registers itself when
-// its package is imported; the fallback is what daemons run.
+// Registries of the decision modules. An implementation registers itself when its package is
+// imported; daemons run the fallback.
 var (
 	Schedulers = NewRegistry[func(Environment) Scheduler]("fairQueue")
 	Routers    = NewRegistry[func(Environment) Router]("hashRouter")
 	Limiters   = NewRegistry[func(Environment) Limiter]("gradient")
 	Ejectors   = NewRegistry[func(Environment) Ejector]("outlier")
-	// RolePolicies holds baselines beside the fallback.
+	// RolePolicies also holds baselines to compare the fallback with.
 	RolePolicies = NewRegistry[func(Environment) RolePolicy]("forecast")
 )
 
-// Scheduler decides who is served, who waits and who is refused, before one
-// service. Its callers serialise their calls.
+// Scheduler decides which jobs of one service are sent, queued or rejected. Its callers serialise
+// their calls.
 type Scheduler interface {
-	// Offer queues the job or refuses it at once with an *Error that is not
-	// run and says when to come back.
+	// Offer queues the job, or rejects it at once with an *Error that is marked as not run and
+	// has a RetryAfter.
 	Offer(job *Job) error
-	// Next removes and returns the job that is to be sent now, or nil when
-	// none waits or all slots are taken. Each job that it returns comes back
-	// through Done or Requeue once.
+	// Next removes and returns the job that is to be sent now, or nil if none is queued or all
+	// slots are taken. The caller passes each returned job to Done or Requeue, once.
 	Next() *Job
-	// Requeue puts back a job that could not be placed. Next returns it again
-	// after the next Done, after a larger Capacity or a little later.
+	// Requeue puts a job that could not be placed back into the queue. Next returns it again
+	// after the next Done, after Capacity has grown, or after a short delay.
 	Requeue(job *Job)
-	// Expired removes and returns the jobs that can no longer meet their
-	// target or had to make room, each with its refusal.
+	// Expired removes and returns the queued jobs that can no longer meet their target or were
+	// evicted in favour of others, each with its rejection.
 	Expired() []RefusedJob
-	// Cancel removes a queued job whose caller went away; false when it is
-	// not queued.
+	// Cancel removes a queued job whose caller disconnected. It returns false if the job is not
+	// queued.
 	Cancel(job *Job) bool
-	// Done frees the slot of a job and reports what it took.
+	// Done frees the slot of a job and records its result.
 	Done(job *Job, served JobResult)
-	// Capacity reports how many jobs this process may have at the endpoints
-	// at once, as known now.
+	// Capacity sets how many jobs this process may run at the endpoints concurrently.
 	Capacity(slots int)
 	// Len returns the number of queued jobs.
 	Len() int
 }
 
-// JobResult is what a job took in the end. The zero value is a job that did not run.
+// JobResult holds the measured cost and times of a job. The zero value is that of a job that did
+// not run.
 type JobResult struct {
-	Cost       Cost          // counted tokens
+	Cost       Cost          // tokens as counted
 	FirstToken time.Duration // from Next to the first byte of the answer
 	Took       time.Duration // from Next to the end of the answer
 }
 
-// RefusedJob is a queued job with its final refusal.
+// RefusedJob is a job that was removed from the queue, with its final rejection.
 type RefusedJob struct {
 	Job *Job
 	Err *Error
 }
 
-// Availability is what an entry holds against an endpoint at the moment of a pick.
+// Availability says whether an entry can send to an endpoint at the time of a pick.
 type Availability int
 
-// Standings of endpoints.
+// Availabilities of endpoints.
 const (
 	AvailabilityFree     Availability = iota
-	AvailabilityBusy                  // at its limit, takes work again soon
-	AvailabilityExcluded              // ejected, tried already or known to be lost
+	AvailabilityBusy                  // at its concurrency limit; expected to take work again soon
+	AvailabilityExcluded              // ejected, tried already for this job, or known to be unavailable
 )
 
-// Choice is where a job goes.
+// Choice is the result of Router.Pick.
 type Choice struct {
-	Endpoint EndpointID // empty when the job cannot be sent now
-	// OutsideAffinity says that none of the endpoints that the fingerprint maps to
-	// is available. The job may reach an endpoint that knows nothing of its
-	// earlier attempts, so quarantine demands a trial claim.
+	Endpoint EndpointID // empty if the job cannot be sent now
+	// OutsideAffinity says that none of the endpoints that the fingerprint maps to is available.
+	// The job may then reach an endpoint without a record of its earlier attempts, so quarantine
+	// requires a trial claim.
 	OutsideAffinity bool
-	// Wait says that an endpoint of the job is only busy.
+	// Wait says that an endpoint for the job exists and is only busy.
 	Wait bool
 }
 
-// Router decides where work goes. It is safe for concurrent use.
+// Router chooses the endpoint for each job. It is safe for concurrent use.
 type Router interface {
-	// SetEndpoints replaces what is known of the endpoints of a service.
+	// SetEndpoints replaces the endpoints of the service.
 	SetEndpoints(endpoints []Endpoint)
-	// Reported takes a report, which may be late or out of order.
+	// Reported records a report, which may arrive late or out of order.
 	Reported(report EndpointReport)
-	// Pick chooses an endpoint for the job. Standing is asked only for the
-	// endpoints that come into question.
-	Pick(job *Job, standing func(EndpointID) Availability) Choice
-	// Sent and Ended follow the attempts of this entry.
+	// Pick chooses an endpoint for the job. It calls availability only for candidate endpoints.
+	Pick(job *Job, availability func(EndpointID) Availability) Choice
+	// Sent and Ended record the start and the end of this entry's attempts.
 	Sent(id EndpointID, job *Job)
 	Ended(id EndpointID, job *Job, outcome Outcome)
 }
 
-// Limiter bounds the attempts of this entry at one endpoint. It is safe for
-// concurrent use.
+// Limiter limits the concurrent attempts of this entry at one endpoint. It is safe for concurrent
+// use.
 type Limiter interface {
-	// Acquire takes a place; false when all are taken.
+	// Acquire takes a slot, or returns false if all are taken.
 	Acquire() bool
-	// Release returns a place. The latency must be comparable between
-	// requests: the mean gap between tokens for engines, the whole time for
-	// plain services; zero when none was measured.
+	// Release frees a slot. The latency must be comparable between requests: the mean
+	// inter-token latency for engines, the total time for plain services; zero if none was
+	// measured.
 	Release(latency time.Duration, outcome Outcome)
-	// Limit returns the places that there are now; at least 1.
+	// Limit returns the current number of slots; at least 1.
 	Limit() int
 }
 
-// RetryBudget bounds retries to a share of what succeeds. It is safe for
-// concurrent use.
+// RetryBudget limits retries to a fraction of the successful requests. It is safe for concurrent
+// use.
 type RetryBudget interface {
-	// Succeeded earns a part of a retry.
+	// Succeeded adds a fraction of a retry to the budget.
 	Succeeded()
-	// Allow spends one retry; false when none is left.
+	// Allow takes one retry from the budget, or returns false if none is left.
 	Allow() bool
 }
 
-// Ejector tells which endpoints get no work because they fail or are slow. It
-// is safe for concurrent use.
+// Ejector decides which endpoints get no work because they fail or are slow. It is safe for
+// concurrent use.
 type Ejector interface {
-	// SetEndpoints replaces the endpoints that it judges.
+	// SetEndpoints replaces the endpoints that are watched.
 	SetEndpoints(ids []EndpointID)
-	// Observe takes the outcome of one attempt, with a latency that is
-	// comparable between requests as for Limiter.
+	// Observe records the outcome of one attempt, with a latency that is comparable between
+	// requests, as for Limiter.Release.
 	Observe(id EndpointID, latency time.Duration, outcome Outcome)
-	// Allowed reports whether the endpoint may get a request. It changes
-	// nothing and may be asked for each endpoint that comes into question.
+	// Allowed reports whether the endpoint may get a request. It has no side effect and may be
+	// called for each candidate endpoint.
 	Allowed(id EndpointID) bool
-	// Sent tells that a request goes to the endpoint; it takes the place of
-	// the single trial request at an ejected endpoint whose time has come.
+	// Sent records that a request is sent to the endpoint. At an endpoint whose ejection time is
+	// over, that request is the single probe.
 	Sent(id EndpointID)
 }
 
-// RoleState is what a RolePolicy knows of one engine.
+// RoleState is the state of one engine as a RolePolicy sees it.
 type RoleState struct {
 	Endpoint EndpointID
-	Role     Role // while it changes, the one to come
+	Role     Role // while it changes, the new one
 	Changing bool
-	Leaving  bool // drains, is down or is not heard of: it is neither counted nor changed
-	Running  int  // requests that a change must move or wait for
+	Leaving  bool // draining, down or without a recent report: neither counted nor changed
+	Running  int  // requests that a role change must move or wait for
 	KVBytes  int64
-	// PrefillDelaysDecode says that prompts read beside its answers would make these late
-	// by a pause.
+	// PrefillDelaysDecode says that prefills run beside the engine's decodes would make them
+	// exceed the target for the event gap.
 	PrefillDelaysDecode bool
-	// PrefillRate and DecodeRate are tokens a second as measured with nothing
-	// else on the engine; zero when unknown.
+	// PrefillRate and DecodeRate are tokens per second, measured with nothing else on the engine;
+	// zero if unknown.
 	PrefillRate float64
 	DecodeRate  float64
 }
 
-// Demand is the work of one service, measured since the last plan.
+// Demand is the load of one service, measured since the last plan.
 type Demand struct {
-	// MeasuredAt is when the demand was measured. A demand that is old, or that was
-	// planned for before, is no ground for a change.
+	// MeasuredAt is when the demand was measured. A policy makes no change for a demand that is
+	// old or that it has planned for already.
 	MeasuredAt time.Time
 	Classes    []ClassDemand // at most one for each class
 }
 
-// ClassDemand is the part of a demand that one class brings.
+// ClassDemand is the demand of one class.
 type ClassDemand struct {
 	Class         Class
-	PrefillTokens float64 // arriving a second, those in a prefix cache left out
-	DecodeTokens  float64 // arriving a second
-	QueuedPrefill float64 // tokens waiting
-	QueuedDecode  float64 // tokens waiting
+	PrefillTokens float64 // arriving per second, without those in a prefix cache
+	DecodeTokens  float64 // arriving per second
+	QueuedPrefill float64 // queued tokens
+	QueuedDecode  float64 // queued tokens
 }
 
-// RoleChange orders one engine into another role.
+// RoleChange is a planned change of one engine's role.
 type RoleChange struct {
 	Endpoint EndpointID
 	From, To Role
 }
 
-// RolePolicy decides which engines change their roles. Its callers serialise
-// their calls.
+// RolePolicy decides which engines change their roles. Its callers serialise their calls.
 type RolePolicy interface {
-	// Plan returns the changes that are worth their price now, often none.
+	// Plan returns the changes whose benefit exceeds their cost now; often none.
 	Plan(engines []RoleState, demand Demand) []RoleChange
 }
--- a/doc.go
+++ b/doc.go
@@ -1,8 +1,8 @@
-// Package carawayspread holds the core types and the small interfaces of the
-// serving system: what a request is, what operators may state about it, what
-// the platform offers, and what the decision modules must answer.
+// Package carawayspread defines the core types and interfaces of the serving system: requests, the
+// configuration that operators set for them, the services of the platform, and the decision
+// modules.
 //
-// Implementations live below internal/: what decides, and, by life span, what
-// belongs to a request, a connection, a version or a process;
-// docs/ARCHITECTURE.md says which of them may import which.
+// Implementations are below internal/: the decision modules, and code grouped by lifetime, that of
+// a request, a connection, a version or a process. docs/ARCHITECTURE.md says which of them may
+// import which.
 package carawayspread
--- a/error.go
+++ b/error.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Code is the typed reason of a failed request, as callers and operators see it.
+// Code is the machine-readable reason of a failed request that callers and operators receive.
 type Code string
 
-// Codes of errors that callers and operators receive.
+// Error codes.
 const (
 	CodeMalformed        Code = "malformed_request"      // The body or a header cannot be read.
 	CodeTooLarge         Code = "request_too_large"      // The body exceeds the limit.
@@ -22,53 +22,53 @@
 	CodeUnknownService   Code = "unknown_service"        // No service has this name.
 	CodeDeadlineExceeded Code = "deadline_exceeded"      // The caller's deadline has passed.
 	CodeOverloaded       Code = "overloaded"             // The class target cannot be met now.
-	CodeShareExceeded    Code = "share_exceeded"         // The workspace has used what the others leave.
+	CodeShareExceeded    Code = "share_exceeded"         // The workspace has queued more than the others leave it.
 	CodeNoEndpoint       Code = "no_endpoint"            // No endpoint can take the request now.
-	CodeDraining         Code = "draining"               // This process is leaving.
+	CodeDraining         Code = "draining"               // This process is draining.
 	CodeQuarantined      Code = "quarantined"            // The request crashed the endpoints that ran it.
 	CodeSuspect          Code = "suspect"                // The request is being tried alone after a crash.
 	CodeInProgress       Code = "in_progress"            // A request with this idempotency key is running.
 	CodeUnknownOutcome   Code = "unknown_outcome"        // Whether the request ran cannot be known. Final.
 	CodeKeyReused        Code = "idempotency_key_reuse"  // The key was used with another body.
-	CodeStoreUnavailable Code = "store_unavailable"      // What needs agreement cannot be agreed now.
+	CodeStoreUnavailable Code = "store_unavailable"      // A store that the request needs cannot be reached now.
 	CodeEndpointFailed   Code = "endpoint_failed"        // The endpoint failed while it ran the request.
 	CodeIncomplete       Code = "incomplete_answer"      // The answer ended early and could not be resumed.
 	CodeConflict         Code = "version_conflict"       // The change was made against an older version.
 	CodeInvalid          Code = "invalid_change"         // The change does not pass the checks.
 	CodeDuplicateAttempt Code = "duplicate_attempt"      // The same attempt arrived twice.
-	CodeStale            Code = "stale_fence"            // The order carries an outdated fencing number.
-	CodeUnauthenticated  Code = "unauthenticated"        // No workspace holds the API key, or there is none.
-	CodeUnproven         Code = "configuration_unproven" // Whether the API key is still good cannot be known now.
+	CodeStale            Code = "stale_fence"            // The order carries an outdated fencing token.
+	CodeUnauthenticated  Code = "unauthenticated"        // The request has no API key or no workspace holds it.
+	CodeUnproven         Code = "configuration_unproven" // Whether the API key is still valid cannot be known now.
 )
 
-// Error is a failed request with what its caller needs to act on it.
+// Error is a failed request, with what its caller needs to handle it.
 type Error struct {
 	code    Code
 	message string
-	// notRun is true only where the process that made the error can prove that
-	// no endpoint has started the request and that none will.
+	// notRun is true only if the process that made the error can prove that no endpoint has
+	// started the request and that none will.
 	notRun     bool
-	retryAfter time.Duration // zero where a retry makes no sense
+	retryAfter time.Duration // zero if a retry is of no use
 	cause      error
 }
 
-// ErrShutdown is the cause with which the context of a request ends that outlasts its
-// process.
-var ErrShutdown = errors.New("the process ends")
+// ErrShutdown is the cancellation cause in the context of a request that is still running when its
+// process ends.
+var ErrShutdown = errors.New("the process is shutting down")
 
 // ErrorOption sets an optional part of an Error.
 type ErrorOption func(*Error)
 
-// NotRun marks the request as proved not to have run.
+// NotRun marks the request as proven not to have run.
 func NotRun() ErrorOption { return func(e *Error) { e.notRun = true } }
 
-// RetryAfter tells the caller when to come back.
+// RetryAfter sets the delay after which the caller may retry.
 func RetryAfter(d time.Duration) ErrorOption { return func(e *Error) { e.retryAfter = d } }
 
-// CausedBy keeps the underlying error for logs; callers never see it.
+// CausedBy sets the underlying error, which is logged and never sent to callers.
 func CausedBy(err error) ErrorOption { return func(e *Error) { e.cause = err } }
 
-// NewError returns an error with that code and message.
+// NewError returns an Error with that code and message.
 func NewError(code Code, message string, opts ...ErrorOption) *Error {
 	e := &Error{code: code, message: message}
 	for _, opt := range opts {
@@ -77,7 +77,7 @@
 	return e
 }
 
-// AsError finds an Error in the chain of err.
+// AsError returns the first Error in the chain of err.
 func AsError(err error) (*Error, bool) {
 	var e *Error
 	ok := errors.As(err, &e)
@@ -94,16 +94,16 @@
 // Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Code returns the typed reason.
+// Code returns the machine-readable reason.
 func (e *Error) Code() Code { return e.code }
 
 // Message returns the text for the caller.
 func (e *Error) Message() string { return e.message }
 
-// NotRun reports whether the request is proved not to have run.
+// NotRun reports whether the request is proven not to have run.
 func (e *Error) NotRun() bool { return e.notRun }
 
-// RetryAfter returns when to come back; zero means that a retry makes no sense.
+// RetryAfter returns the delay after which the caller may retry; zero if a retry is of no use.
 func (e *Error) RetryAfter() time.Duration { return e.retryAfter }
 
 var statusOf = map[Code]int{
@@ -136,7 +136,7 @@
 	CodeUnproven:         http.StatusServiceUnavailable,
 }
 
-// Status returns the HTTP status that carries the code.
+// Status returns the HTTP status for the code.
 func (c Code) Status() int {
 	if status, ok := statusOf[c]; ok {
 		return status
--- a/feedback.go
+++ b/feedback.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Feedback is what an endpoint says of itself in an answer, beside the answer.
+// Feedback is what an endpoint states about itself along with an answer.
 type Feedback struct {
-	// Limited says that the endpoint names Rate.
+	// Limited says that the endpoint sets a rate limit, which is Rate.
 	Limited bool
-	// Rate is how many requests a second the endpoint takes from all processes
-	// together, for as long as its answers say so; finite and not negative.
+	// Rate is how many requests per second the endpoint accepts from all processes together, as
+	// long as its answers say so; finite and not negative.
 	Rate float64
-	// Draining says that the endpoint takes no new work and will end.
+	// Draining says that the endpoint takes no new work and will shut down.
 	Draining bool
-	// RetryAfter is for how long the endpoint wants nothing from the process that it
-	// refused; zero where it does not say.
+	// RetryAfter is how long the rejected process must send nothing to the endpoint; zero if the
+	// endpoint does not say.
 	RetryAfter time.Duration
 }
--- a/freshness.go
+++ b/freshness.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// ConfigFreshness says how old a process's knowledge of the configuration can be.
+// ConfigFreshness bounds how outdated the configuration of a process can be.
 type ConfigFreshness interface {
-	// Age returns an upper bound of the time since the configuration in use was
-	// the newest; false where nothing is known.
+	// Age returns an upper bound of the time since the configuration in use was known to be the
+	// newest; false if nothing is known.
 	Age() (time.Duration, bool)
-	// Refresh asks the platform's store whether there is a newer one, and takes it.
-	// It returns ErrTooSoon without a call where the last question was too recent.
+	// Refresh queries the platform's store for a newer configuration and adopts it. It returns
+	// ErrTooSoon, without a call, if the last query was too recent.
 	Refresh(ctx context.Context) error
 }
--- a/instance.go
+++ b/instance.go
@@ -2,16 +2,16 @@
 
 import "context"
 
-// InstanceState is what the platform says of an instance.
+// InstanceState is the state of an instance as the platform reports it.
 type InstanceState string
 
 // States of instances.
 const (
 	InstanceLive    InstanceState = "live"
-	InstanceLeaving InstanceState = "leaving" // gets no new work and ends soon
+	InstanceLeaving InstanceState = "leaving" // gets no new work and shuts down soon
 )
 
-// InstanceRole tells what runs on an instance.
+// InstanceRole is the kind of daemon that runs on an instance.
 type InstanceRole string
 
 // Roles of instances.
@@ -27,9 +27,9 @@
 	State   InstanceState `json:"state"`
 	Region  string        `json:"region"`
 	Zone    string        `json:"zone"`    // the availability zone
-	Address string        `json:"address"` // IP number and port of its daemon's data path
-	Control string        `json:"control"` // IP number and port of its control service
-	// Endpoints are the workers beside a sidecar, with their services.
+	Address string        `json:"address"` // IP address and port of its daemon's data path
+	Control string        `json:"control"` // IP address and port of its control service
+	// Endpoints are the workers of a sidecar, with their services.
 	Endpoints []InstanceEndpoint `json:"endpoints,omitempty"`
 }
 
@@ -39,10 +39,9 @@
 	Service string     `json:"service"`
 }
 
-// InstanceList is the platform's list of instances. It lags behind reality.
+// InstanceList is the platform's list of instances. It may be outdated.
 type InstanceList interface {
-	// List returns all instances and the revision of the list. Given the
-	// revision that the caller already has, it may answer with a nil slice and
-	// the same revision.
+	// List returns all instances and the revision of the list. If the caller passes the current
+	// revision, List may return a nil slice and the same revision.
 	List(ctx context.Context, have string) (instances []Instance, revision string, err error)
 }
--- a/job.go
+++ b/job.go
@@ -4,13 +4,13 @@
 
 // Cost is the work of one request, in tokens.
 type Cost struct {
-	Prefill int // tokens of the prompt that are not expected in a prefix cache; not negative
-	Decode  int // tokens of the answer, expected or counted; not negative
+	Prefill int // prompt tokens that are not expected in a prefix cache; not negative
+	Decode  int // output tokens, expected or counted; not negative
 }
 
-// Job is what the decision modules know of one request.
+// Job is one request as the decision modules see it.
 //
-// A Job is filled by the entry before it is offered and not modified after.
+// The entry fills a Job before it is offered to the Scheduler; it is not modified afterwards.
 type Job struct {
 	ID        string
 	Workspace string
@@ -18,28 +18,27 @@
 	Model     string // empty for plain services
 	Class     Class
 	Arrived   time.Time
-	Deadline  time.Time // the caller's own; zero means none
+	Deadline  time.Time // set by the caller; zero if none
 	Cost      Cost
-	// Phase is the part of the work that an attempt asks for: RolePrefill when
-	// another engine may take over the answer, RoleDecode for that one. Empty
-	// means the whole.
+	// Phase is the part of the work that an attempt requests: RolePrefill if another engine may
+	// decode, RoleDecode for the attempt at that engine. Empty means both.
 	Phase Role
-	// Prefix is the hash of the leading part of the prompt, for cache locality.
+	// Prefix is the hash of the leading part of the prompt, for prefix cache affinity.
 	Prefix uint64
-	// Fingerprint is the hash of workspace, path and whole body: the same for
-	// every copy of the request that its caller sends.
+	// Fingerprint is the hash of workspace, path and whole body. It is the same for all copies of
+	// the request that its caller sends.
 	Fingerprint uint64
 }
 
-// Outcome is how one attempt ended.
+// Outcome is the result of one attempt.
 type Outcome int
 
 // Outcomes of attempts.
 const (
-	OutcomeServed      Outcome = iota // whole answer
-	OutcomeRefused                    // proved not run
-	OutcomeFailed                     // ran or may have run, no whole answer
-	OutcomeCrashed                    // the endpoint crashed while it ran
-	OutcomeCancelled                  // the caller went away
-	OutcomeUnreachable                // proved not run, as nothing could be sent
+	OutcomeServed      Outcome = iota // complete answer
+	OutcomeRefused                    // proven not run
+	OutcomeFailed                     // ran or may have run, without a complete answer
+	OutcomeCrashed                    // the endpoint crashed while the attempt ran
+	OutcomeCancelled                  // the caller disconnected
+	OutcomeUnreachable                // proven not run, as nothing could be sent
 )
--- a/keyring.go
+++ b/keyring.go
@@ -2,19 +2,18 @@
 
 import "crypto/sha256"
 
-// KeyDigest is the SHA-256 digest of an API key. Keys themselves are not kept.
+// KeyDigest is the SHA-256 digest of an API key. The keys themselves are not stored.
 type KeyDigest [sha256.Size]byte
 
-// longestDigested is the longest key that is digested without an allocation, in
-// bytes.
-const longestDigested = 128
+// maxStackKeyLength is the length in bytes of the longest key that is hashed without an allocation.
+const maxStackKeyLength = 128
 
 // DigestKey returns the digest of an API key.
 func DigestKey(key string) KeyDigest {
-	if len(key) > longestDigested {
+	if len(key) > maxStackKeyLength {
 		return sha256.Sum256([]byte(key))
 	}
-	var buffer [longestDigested]byte
+	var buffer [maxStackKeyLength]byte
 	return sha256.Sum256(buffer[:copy(buffer[:], key)])
 }
 
@@ -24,35 +23,35 @@
 	Keys      []string
 }
 
-// Keyring says which workspace an API key belongs to. It is immutable.
+// Keyring maps API keys to workspaces. It is immutable.
 type Keyring struct {
 	workspaces map[KeyDigest]Workspace
 	ambiguous  int
 }
 
-// NewKeyring returns the keys of these workspaces. A key that two of them hold
-// identifies neither.
+// NewKeyring returns the keyring of these workspaces. A key that two of them hold identifies
+// neither.
 func NewKeyring(holders []KeyHolder) *Keyring {
 	k := &Keyring{workspaces: map[KeyDigest]Workspace{}}
-	shared := map[KeyDigest]bool{}
+	ambiguous := map[KeyDigest]bool{}
 	for _, holder := range holders {
 		for _, key := range holder.Keys {
 			digest := DigestKey(key)
 			if other, held := k.workspaces[digest]; held && other.Name() != holder.Workspace.Name() {
-				shared[digest] = true
+				ambiguous[digest] = true
 			}
 			k.workspaces[digest] = holder.Workspace
 		}
 	}
-	for digest := range shared {
+	for digest := range ambiguous {
 		delete(k.workspaces, digest)
 	}
-	k.ambiguous = len(shared)
+	k.ambiguous = len(ambiguous)
 	return k
 }
 
-// Workspace returns the workspace that holds the key. The lookup goes by digest,
-// so its time says nothing of how much of a guessed key is right.
+// Workspace returns the workspace that holds the key. The lookup is by digest, so its duration does
+// not reveal how much of a guessed key is correct.
 func (k *Keyring) Workspace(key string) (Workspace, bool) {
 	workspace, ok := k.workspaces[DigestKey(key)]
 	return workspace, ok
--- a/knowledge.go
+++ b/knowledge.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// ErrDeltaMismatch says that changes which a peer handed on do not fit what is known here;
-// the whole is to be asked for.
-var ErrDeltaMismatch = errors.New("changes do not fit what is known")
+// ErrDeltaMismatch means that changes received from a peer do not apply to the version held here;
+// the full contents must be requested.
+var ErrDeltaMismatch = errors.New("the changes do not apply to the version held here")
 
-// ErrTooSoon says that a question was not asked, since one was asked a moment before.
-var ErrTooSoon = errors.New("asked a moment before")
+// ErrTooSoon means that a store or a peer was not queried because the last query is too recent or
+// still running.
+var ErrTooSoon = errors.New("the last query is too recent or still running")
 
-// Resource is one thing that processes learn from the platform's store.
+// Resource is a kind of data that processes follow in the platform's store.
 type Resource int
 
-// The matters that are followed.
+// Resources that are followed.
 const (
 	ResourceRoutes    Resource = iota
 	ResourceEndpoints          // the endpoints
-	ResourceCount              // how many there are
+	ResourceCount              // number of resources
 )
 
-// String returns the matter's name in logs.
+// String returns the name of the resource in logs.
 func (m Resource) String() string {
 	if m == ResourceEndpoints {
 		return "endpoints"
@@ -30,44 +31,44 @@
 	return "routes"
 }
 
-// Document is what a process knows of one matter, as the platform wrote it.
+// Document is the contents of one resource, in the platform's encoding, or changes to them.
 type Document struct {
-	Version uint64 // grows with each change; zero where nothing is known
-	// Since is the version from which the body holds the changes; zero where it holds all.
+	Version uint64 // grows with each change; zero if nothing is known
+	// Since is the version that the changes in Body start from; zero if Body is complete.
 	Since uint64
-	Body  []byte // read by the platform's translation alone
+	Body  []byte // opaque to all but the platform's adapter
 }
 
-// Knowledge is what a process has learnt from the platform's store and can hand
-// on to a peer.
+// Knowledge is the state that a process has learnt from the platform's store and can pass on to a
+// peer.
 type Knowledge struct {
 	Routes    Document
 	Endpoints Document // the endpoints
-	// StoreTime is the latest that the store's steady clock can show as this is
-	// handed on; zero where it is not known.
+	// StoreTime is the latest possible reading of the store's monotonic clock at the time of
+	// passing this on; zero if unknown.
 	StoreTime time.Duration
 }
 
-// ResourceStatus is what a process says that it knows of one matter, without the contents.
+// ResourceStatus states which version of a resource a process holds, without the contents.
 type ResourceStatus struct {
-	Version uint64        // as in Document, or a later one under which nothing had changed
-	Digest  uint64        // equal where the contents are
-	Age     time.Duration // since the store confirmed it, by the clock of the process that says so
-	// StoreTime is what the store's steady clock showed when this was the newest; zero
-	// where nothing shows it. A message that arrives late makes it no newer.
+	Version uint64        // as in Document, or a later one with the same contents
+	Digest  uint64        // equal if the contents are equal
+	Age     time.Duration // since the store confirmed it, by the sender's clock
+	// StoreTime is the reading of the store's monotonic clock at which this was known to be the
+	// newest; zero if unknown. A delay of the message does not make it appear newer.
 	StoreTime time.Duration
 }
 
-// PeerStatus is what a process tells its peers of itself.
+// PeerStatus is what a process reports about itself to its peers.
 type PeerStatus struct {
 	Zone         string
-	Capacity     uint32 // what its instance can carry, to be compared only
-	CanReadStore bool   // the store answers it, and it stays
-	FleetSize    int    // processes that it hears itself, itself included
+	Capacity     uint32 // of its instance; only for comparison between processes
+	CanReadStore bool   // the store answers this process, and it is not shutting down
+	FleetSize    int    // processes that it receives messages from, itself included
 	Resources    [ResourceCount]ResourceStatus
-	// StoreEpoch is the time from the start of 1970, by this process's time of day, to the
-	// moment at which the store's steady clock showed zero; zero where it is not known.
+	// StoreEpoch is the time from the start of 1970 to the moment at which the store's monotonic
+	// clock read zero, by this process's wall clock; zero if unknown.
 	StoreEpoch time.Duration
-	// MayHoldUsageLease says that it may hold the lease of usage reports.
+	// MayHoldUsageLease says that the process may hold the lease for usage reports.
 	MayHoldUsageLease bool
 }
--- a/placement.go
+++ b/placement.go
@@ -2,103 +2,106 @@
 
 import "time"
 
-// Placers decide where requests run.
+// Placers is the registry of placers.
 var Placers = NewRegistry[func(Environment) Placer]("estimate")
 
-// PlacementRequest is what a Placer knows of one request.
+// PlacementRequest is one request as a Placer sees it.
 type PlacementRequest struct {
 	Route    *Route
 	Service  RoutedService
 	Prompt   *Prompt // nil for plain services
 	Arrived  time.Time
-	Deadline time.Time // the earlier of the caller's and the route's
-	// TargetMissed says that the target has passed already, because the caller was
-	// refused before and has come back.
+	Deadline time.Time // the earlier of the caller's and the route's deadline
+	// TargetMissed says that the target has passed already, because the caller retries after a
+	// rejection.
 	TargetMissed bool
-	// Exclude names endpoints that this request must not go to again.
+	// Exclude holds the endpoints that must not get this request again.
 	Exclude map[EndpointID]bool
-	Bytes   int // of the request, which cross to another availability zone with it
-	// Fingerprint is the same for each copy of the request.
+	Bytes   int // size of the request, to price its transfer to another availability zone
+	// Fingerprint is the same for all copies of the request.
 	Fingerprint uint64
-	// PrefilledBy is where the prompt was read; empty where it was not.
+	// PrefilledBy is the endpoint that has prefilled the prompt and holds its KV cache; empty if
+	// none has.
 	PrefilledBy EndpointID
-	// SingleEndpoint asks for one endpoint that reads and answers.
+	// SingleEndpoint requires one endpoint for both prefill and decode.
 	SingleEndpoint bool
-	// Admitted says that the request was taken on: it is not refused for lateness.
+	// Admitted says that the request was admitted before: it is not rejected for missing its target.
 	Admitted bool
 }
 
-// Placement is where a request goes.
+// Placement is the endpoint that is chosen for a request, with the expected times and cache hits.
 type Placement struct {
 	Endpoint Endpoint
-	// PrefillOnly says that the endpoint reads the prompt for another, which is
-	// asked for when it has: Place with PrefilledBy set.
+	// PrefillOnly says that the endpoint only prefills the prompt. The endpoint that decodes is
+	// chosen after that, by a call of Place with PrefilledBy set.
 	PrefillOnly bool
-	// TimeToFirstEvent is the expected time from now to the first event or the answer.
+	// TimeToFirstEvent is the expected time from now to the first event, or to the answer of a
+	// plain service.
 	TimeToFirstEvent time.Duration
-	// PrefillTime is the expected time that the endpoint spends on reading, and QueueTime how
-	// long that waits for the readings before it.
+	// PrefillTime is how long the prefill is expected to take at the endpoint, and QueueTime how
+	// long it is expected to wait for the prefills queued before it.
 	PrefillTime, QueueTime time.Duration
-	// CachedTokens are the tokens of the prompt that the endpoint is thought to hold, or
-	// to get from Fetch.
+	// CachedTokens is how many tokens of the prompt the endpoint is expected to have in its prefix
+	// cache, including those that it gets from FetchFrom.
 	CachedTokens int
-	// FetchFrom is another endpoint that holds more of the prompt, and Fetching the
-	// expected time that it takes to get that; nil and zero for none.
+	// FetchFrom is another endpoint whose cache holds more of the prompt, and FetchTime the
+	// expected duration of the transfer; nil and zero if nothing is fetched.
 	FetchFrom     *Endpoint
 	FetchTime     time.Duration
-	FetchedTokens int // tokens of Found that come from there
-	// ColdPrefillTime and WarmPrefillTime are Work with nothing and with all held of a shared beginning
-	// that no endpoint is known to hold; both are zero where one is.
+	FetchedTokens int // part of CachedTokens that comes from FetchFrom
+	// ColdPrefillTime and WarmPrefillTime are PrefillTime with none and with all of a shared prefix
+	// in the cache, if no endpoint is known to hold that prefix; otherwise both are zero.
 	ColdPrefillTime, WarmPrefillTime time.Duration
 }
 
-// Placer decides where requests run, and which are refused because their
-// target cannot be met. It is safe for concurrent use.
+// Placer decides where requests run, and which are rejected because their target cannot be met. It
+// is safe for concurrent use.
 type Placer interface {
-	// SetEndpoints replaces all endpoints of a service.
+	// SetEndpoints replaces the endpoints of a service.
 	SetEndpoints(service string, endpoints []Endpoint)
-	// Place chooses an endpoint, or returns an *Error that is not run; the placement
-	// is then the one that was refused, if there was any.
+	// Place chooses an endpoint, or returns an *Error that is marked as not run. With an error,
+	// the placement is the one that was rejected, if there was one.
 	Place(p PlacementRequest) (Placement, error)
-	// Sent follows a placement that is carried out; its End is called once.
+	// Sent records that a placement is carried out. The caller calls End of the returned tracker
+	// once.
 	Sent(p PlacementRequest, at Placement) AttemptTracker
-	// ApplyLoadUpdates takes what another process says of its placements.
+	// ApplyLoadUpdates applies the load updates of another process.
 	ApplyLoadUpdates(from string, notices []LoadUpdate)
-	// Crashed takes note that an endpoint broke off while it ran a request.
+	// Crashed records that an endpoint broke the connection while it ran a request.
 	Crashed(id EndpointID)
-	// MarkStale takes note that another instance answers at the endpoint's address, or
-	// that the endpoint has another role than its entry says.
+	// MarkStale records that another instance answers at the endpoint's address, or that the
+	// endpoint has another role than its entry in the list says.
 	MarkStale(id EndpointID)
 }
 
-// AttemptTracker is the time of one attempt at an endpoint.
+// AttemptTracker records the progress of one attempt at an endpoint.
 type AttemptTracker interface {
-	// Answered tells that the first event, or the answer to a reading, is
-	// there. Calls after the first have no effect.
+	// Answered records that the first event, the answer of a plain service or the answer to a
+	// prefill has arrived. Calls after the first have no effect.
 	Answered()
-	// Event tells that an event of the answer after the first is there.
+	// Event records that an event of the answer after the first has arrived.
 	Event()
-	// Stalled reports whether the endpoint passed the attempt over or does nothing
-	// any more. While it works off what came before, it has not stalled.
+	// Stalled reports whether the endpoint answers later attempts before this one, or has stopped
+	// making progress. While it processes earlier attempts, it has not stalled.
 	Stalled() bool
-	// End frees what the attempt held. Calls after the first have no effect.
+	// End releases the attempt's share of the endpoint's load. Calls after the first have no
+	// effect.
 	End(outcome Outcome)
 }
 
-// LoadUpdate is what a process tells its peers of one endpoint, so that they place
-// as if they knew all attempts.
+// LoadUpdate is a process's own load on one endpoint. It is sent to the peers, so that each of them
+// can place requests as if it knew the attempts of all processes.
 type LoadUpdate struct {
-	EndpointHash  uint32 // hash of the identifier
-	Running       int    // attempts of the sender there now
-	Tokens        int    // of their prompts and answers
-	PrefillTime   time.Duration
-	PrefillTokens int      // tokens read anew by the placement that is told; zero for none
-	PrefixHashes  []uint64 // what the placement leaves in the endpoint's memory
-	// PrefillDelay is by how much later than was expected the readings known at the endpoint
-	// are through, as an answer to the sender has shown; negative where they are
-	// sooner.
+	EndpointHash  uint32        // hash of the EndpointID
+	Running       int           // running attempts of the sender at the endpoint
+	Tokens        int           // of the prompts and answers of these attempts
+	PrefillTime   time.Duration // expected, of the new placement; zero if there is none
+	PrefillTokens int           // of the new placement, without cached tokens; zero if there is none
+	PrefixHashes  []uint64      // of what the new placement leaves in the endpoint's prefix cache
+	// PrefillDelay is how much later than expected the known prefills at the endpoint complete, as
+	// an answer to the sender has shown; negative if they complete earlier.
 	PrefillDelay time.Duration
-	// SuspendedFor is how long the endpoint is not to be used, as it changes its role or leaves;
-	// zero where it does not.
+	// SuspendedFor is how long the endpoint must not be used, because it changes its role or is
+	// draining; zero if neither.
 	SuspendedFor time.Duration
 }
--- a/prompt.go
+++ b/prompt.go
@@ -1,24 +1,24 @@
 package carawayspread
 
-// PromptPart is a piece of a prompt that other prompts may share.
+// PromptPart is a segment of a prompt that other prompts may share.
 type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
 
-// Prompt is what a request asks an engine to read and to write.
+// Prompt describes the prompt of a request and the expected length of its answer.
 type Prompt struct {
 	Model           string
 	Tokens          int // of the prompt
-	MaxOutputTokens int // tokens of the answer at the most
-	// LengthHint is the caller's guess of the tokens of the answer; zero where there
-	// is none. It is right at the median and often far off.
+	MaxOutputTokens int // upper limit for the tokens of the answer
+	// LengthHint is the caller's estimate of the tokens of the answer; zero if there is none. Its
+	// median is right, but single estimates are often far off.
 	LengthHint int
-	Parts      []PromptPart // in order; together the prompt. The last is its own.
+	Parts      []PromptPart // in order; together they are the prompt. The last is not shared.
 }
 
-// PrefixHashes returns, for each part, a number that stands for it and all parts
-// before it: a part is found again only behind the same beginning.
+// PrefixHashes returns for each part the hash of the prefix that ends with it: equal parts have
+// equal hashes only after equal prefixes.
 func (p Prompt) PrefixHashes() []uint64 {
 	chains := make([]uint64, len(p.Parts))
 	h := uint64(14695981039346656037) // FNV offset basis
--- a/protocol.go
+++ b/protocol.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// RequestMetadata is what a caller's request says of itself beside its bytes.
+// RequestMetadata is what the headers of a caller's request state about it.
 type RequestMetadata struct {
-	ID          string        // of this attempt of the caller; empty where it sent none
-	TimeLeft    time.Duration // how long the caller waits; zero where it does not say
-	Prompt      *Prompt       // nil where there is none
+	ID          string        // of this attempt of the caller; empty if it sent none
+	TimeLeft    time.Duration // how long the caller waits; zero if it does not say
+	Prompt      *Prompt       // nil if there is none
 	LastEventID string        // the last event that the caller has; empty from the start
 }
 
-// Phase is the part of an engine's work that an attempt asks for.
+// Phase is the part of an engine's work that an attempt requests.
 type Phase int
 
 // Phases of an attempt.
 const (
-	PhaseWhole   Phase = iota // read the prompt and answer
-	PhasePrefill              // read the prompt and keep its KV cache
-	PhaseDecode               // take over a KV cache and answer
+	PhaseWhole   Phase = iota // prefill and decode
+	PhasePrefill              // prefill and keep the KV cache
+	PhaseDecode               // decode from the KV cache of another engine
 )
 
-// String names the phase in logs and metrics.
+// String returns the name of the phase in logs and metrics.
 func (p Phase) String() string {
 	switch p {
 	case PhasePrefill:
@@ -35,58 +35,57 @@
 	}
 }
 
-// Handover names a KV cache that one engine keeps for another.
+// Handover identifies a KV cache that one engine holds for another.
 type Handover struct {
 	Handle string
 	From   Endpoint
 }
 
-// Attempt is what an endpoint is told beside the caller's own words.
+// Attempt is what the system tells an endpoint in addition to the caller's request.
 type Attempt struct {
 	To          Endpoint
 	TimeLeft    time.Duration
 	Phase       Phase
 	Handover    Handover  // for PhaseDecode
-	FetchFrom   *Endpoint // that holds more of the prompt; nil for none, or for PhaseDecode
+	FetchFrom   *Endpoint // holds more of the prompt in its cache; nil if none does, and for PhaseDecode
 	LastEventID string    // the last event that the caller has; empty from the start
 	Priority    int       // 0 is the most urgent
-	// Workspace is that of the caller's API key; empty where it is not known.
+	// Workspace is the one that the caller's API key belongs to; empty if unknown.
 	Workspace string
 }
 
-// ReplyKind says what a reply proves.
+// ReplyKind is what a reply proves about the request.
 type ReplyKind int
 
-// Verdicts on replies.
+// Kinds of replies.
 const (
 	// ReplyAnswer is the endpoint's own answer to this request.
 	ReplyAnswer ReplyKind = iota
 	// ReplyNotRun proves that the endpoint has not run the request.
 	ReplyNotRun
-	// ReplyWrongEndpoint proves that another endpoint has the address.
+	// ReplyWrongEndpoint proves that another endpoint has the address now.
 	ReplyWrongEndpoint
-	// ReplyInconclusive is no answer to this request; it leaves its fate open.
+	// ReplyInconclusive is not an answer to this request; whether the request ran is unknown.
 	ReplyInconclusive
 )
 
-// Protocol translates between the messages of callers and endpoints and the
-// words of this package. It decides nothing.
+// Protocol translates between the messages of callers and endpoints and the types of this package.
+// It makes no decisions.
 type Protocol interface {
-	// ParseRequest reads what the header says. Malformed values are left out.
+	// ParseRequest reads the metadata of a request from its headers. Malformed values are ignored.
 	ParseRequest(h http.Header) RequestMetadata
-	// SetAttemptHeaders sets the headers that this system sets for an endpoint, and
-	// removes those of their names that a caller sent.
+	// SetAttemptHeaders sets the headers that this system sends to an endpoint, and removes those
+	// with the same names that the caller sent.
 	SetAttemptHeaders(h http.Header, a Attempt)
-	// ClassifyReply tells what a reply to an attempt of the request with that
-	// identifier proves.
+	// ClassifyReply returns what a reply to an attempt of the request with that identifier proves.
 	ClassifyReply(r *Reply, id string, phase Phase) ReplyKind
-	// ParseFeedback reads what the reply says of its endpoint. An error names the header
-	// that cannot be read; the reply then says nothing.
+	// ParseFeedback reads what the reply states about its endpoint. If a header is malformed, it
+	// returns the zero Feedback and an error that names the header.
 	ParseFeedback(r *Reply) (Feedback, error)
-	// ParseHandover reads the answer to an attempt of PhasePrefill.
+	// ParseHandover reads the body of the answer to an attempt of PhasePrefill.
 	ParseHandover(body []byte, from Endpoint) (Handover, error)
-	// ReleaseKV returns the request that frees a KV cache nobody took.
+	// ReleaseKV returns the request that frees a KV cache that no engine has taken over.
 	ReleaseKV(h Handover) Outbound
-	// WriteError writes a final answer of this system's own.
+	// WriteError writes the error to the caller as the final answer.
 	WriteError(w http.ResponseWriter, err *Error)
 }
--- a/registry.go
+++ b/registry.go
@@ -6,24 +6,24 @@
 	"sync"
 )
 
-// Registry finds implementations of one interface by name.
+// Registry maps names to implementations of one interface.
 //
-// A Registry is filled by package initialisation and read afterwards; it is
-// safe for concurrent use.
+// A Registry is filled during package initialisation and only read afterwards. It is safe for
+// concurrent use.
 type Registry[T any] struct {
 	mu       sync.RWMutex
 	entries  map[string]T
-	fallback string // names an entry once that entry is registered
+	fallback string // name of the default entry; need not be registered yet
 }
 
-// NewRegistry returns an empty registry whose Get answers with the entry named
-// fallback when it does not know the name asked for.
+// NewRegistry returns an empty registry whose Get returns the entry named fallback for unknown
+// names.
 func NewRegistry[T any](fallback string) *Registry[T] {
 	return &Registry[T]{entries: map[string]T{}, fallback: fallback}
 }
 
-// Register adds an entry. It panics when the name is taken, which is a
-// programmer's error.
+// Register adds an entry and returns it. It panics if the name is taken, which is a programming
+// error.
 func (r *Registry[T]) Register(name string, entry T) T {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -34,8 +34,8 @@
 	return entry
 }
 
-// Get returns the entry with that name, or the fallback. The second result
-// says whether the name itself was known.
+// Get returns the entry with that name, or the fallback. The second result reports whether the name
+// is registered.
 func (r *Registry[T]) Get(name string) (T, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/route.go
+++ b/route.go
@@ -10,89 +10,90 @@
 	"github.com/google/btree"
 )
 
-// RetryPolicy says what may be done with a request whose attempt failed.
+// RetryPolicy says whether a request may be sent again after an attempt failed.
 type RetryPolicy int
 
-// Kinds of repetition. The zero value is the strictest.
+// Retry policies. The zero value is the strictest.
 const (
 	RetryNever      RetryPolicy = iota // at most one attempt may run
-	RetryResume                        // a stream that may go on elsewhere after its last whole event
+	RetryResume                        // a stream that may resume at another endpoint after its last complete event
 	RetryIdempotent                    // may run more than once
 )
 
-// Share is the part of a route's requests that one service gets.
+// Share is the fraction of a route's requests that one service gets.
 type Share struct {
 	Service string
 	Weight  int // relative to the other shares of the route; not negative
 }
 
-// Route says which service answers a group of requests and what its callers
-// may expect. It is immutable.
+// Route defines which services answer a group of requests, and with which targets and limits. It is
+// immutable.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string  // begins and ends with a slash
 	Shares []Share // not empty
 	Retry  RetryPolicy
-	Stream bool // answered by server-sent events with growing identifiers
+	Stream bool // answered with server-sent events whose identifiers grow
 	Prompt bool // requests carry a prompt for an engine
-	// Anonymous routes take requests without an API key.
+	// Anonymous says that requests need no API key.
 	Anonymous   bool
-	MaxAttempts int // endpoints that may run one request; at least 1
+	MaxAttempts int // limit of the attempts of one request that may have run; at least 1
 	Priority    int // 0 is the most urgent
-	// Timeout is the longest time from arrival to the final answer, or to the
-	// last event of a stream.
+	// Timeout is the longest time from arrival to the final answer, or to the last event of a
+	// stream.
 	Timeout time.Duration
-	// TargetLatency is the time from arrival to the answer, or to the first event.
+	// TargetLatency is the target for the time from arrival to the answer, or to the first event of
+	// a stream.
 	TargetLatency time.Duration
-	// TargetGap is the longest time between two events of an answer that is in time;
-	// zero where none is stated.
+	// TargetGap is the target for the longest gap between two events of an answer; zero if none is
+	// set.
 	TargetGap time.Duration
 }
 
-// EngineTraits is what operators state of the engines of a service.
+// EngineTraits are the properties of a service's engines that operators configure.
 type EngineTraits struct {
-	Slots             int   // requests that one engine batches
-	KVTokens          int   // tokens that the memory of one engine holds
-	KVBytesPerToken   int   // bytes of KV cache for each token
-	LinkBitsPerSecond int64 // bits a second between engines
-	TokensPerEvent    int   // tokens of one event; zero where it is not stated
-	// FetchesKV says that an engine takes parts of prompts from another one that
-	// holds them, where it is told which.
+	Slots             int   // requests that one engine runs in one batch
+	KVTokens          int   // tokens that fit into the KV cache of one engine
+	KVBytesPerToken   int   // bytes of KV cache per token
+	LinkBitsPerSecond int64 // bandwidth between engines, in bits per second
+	TokensPerEvent    int   // tokens in one event; zero if unknown
+	// FetchesKV says that an engine can fetch cached parts of a prompt from another engine that an
+	// attempt names.
 	FetchesKV bool
 }
 
-// RoutedService is a service as routes name it.
+// RoutedService is a service that routes refer to.
 type RoutedService struct {
 	Name   string
 	Engine *EngineTraits // nil for plain services
 }
 
-// CallerLimits bounds what a caller may send.
+// CallerLimits are the limits on what a caller may send.
 type CallerLimits struct {
 	BodyBytes int64
 }
 
-// routeDegree is the fan-out of the tree of routes. A change copies one path of nodes.
-const routeDegree = 16
+// routeTreeDegree is the degree of the B-tree of routes. A change copies the nodes on one path.
+const routeTreeDegree = 16
 
-// Routing is one accepted set of routes. It is immutable and shares what has not
-// changed with the one before it.
+// Routing is one accepted version of the routes. It is immutable and shares what has not changed
+// with the version before it.
 type Routing struct {
 	version  Version
 	routes   *btree.BTreeG[hostedRoute]
 	services map[string]RoutedService
 	limits   CallerLimits
-	keyring  *Keyring // nil where callers need no key
+	keyring  *Keyring // nil if callers need no key
 }
 
-// hostedRoute is a route in the order of host, prefix and name.
+// hostedRoute is a route that is ordered by host, prefix and name.
 type hostedRoute struct {
-	host string // in lower case
+	host string // lower case
 	*Route
 }
 
-func hosted(route *Route) hostedRoute {
+func newHostedRoute(route *Route) hostedRoute {
 	return hostedRoute{host: strings.ToLower(route.Host), Route: route}
 }
 
@@ -103,26 +104,26 @@
 // RoutingOption sets an optional part of a Routing.
 type RoutingOption func(*Routing)
 
-// WithKeyring has routes that are not anonymous ask for an API key.
+// WithKeyring makes routes that are not anonymous require an API key of the keyring.
 func WithKeyring(k *Keyring) RoutingOption { return func(t *Routing) { t.keyring = k } }
 
-// RoutingEdit is what the next version of a Routing replaces. What it holds must not be
+// RoutingEdit is the difference between a Routing and its next version. Its contents must not be
 // modified afterwards.
 type RoutingEdit struct {
 	Version      Version
-	Drop, Put    []*Route // dropped first
+	Drop, Put    []*Route // Drop is applied before Put
 	DropServices []RoutedService
 	PutServices  []RoutedService
 	Limits       *CallerLimits // nil keeps them
-	Keyring      *Keyring      // nil where callers need no key
+	Keyring      *Keyring      // nil if callers need no key
 }
 
-// NewRouting returns the routes with that version. Routes and services must not
-// be modified afterwards.
+// NewRouting returns a Routing with that version. Routes and services must not be modified
+// afterwards.
 func NewRouting(version Version, routes []*Route, services map[string]RoutedService, limits CallerLimits, opts ...RoutingOption) *Routing {
-	t := &Routing{version: version, routes: btree.NewG(routeDegree, lessRoute), services: services, limits: limits}
+	t := &Routing{version: version, routes: btree.NewG(routeTreeDegree, lessRoute), services: services, limits: limits}
 	for _, route := range routes {
-		t.routes.ReplaceOrInsert(hosted(route))
+		t.routes.ReplaceOrInsert(newHostedRoute(route))
 	}
 	for _, opt := range opts {
 		opt(t)
@@ -130,15 +131,15 @@
 	return t
 }
 
-// Next returns the routes that differ by the edit. It is not safe to be called by two
-// at once; lookups may go on meanwhile.
+// Next returns the Routing that results from the edit. It must not be called concurrently with
+// itself; concurrent lookups are safe.
 func (t *Routing) Next(edit RoutingEdit) *Routing {
 	next := &Routing{version: edit.Version, routes: t.routes.Clone(), services: t.services, limits: t.limits, keyring: edit.Keyring}
 	for _, route := range edit.Drop {
-		next.routes.Delete(hosted(route))
+		next.routes.Delete(newHostedRoute(route))
 	}
 	for _, route := range edit.Put {
-		next.routes.ReplaceOrInsert(hosted(route))
+		next.routes.ReplaceOrInsert(newHostedRoute(route))
 	}
 	if len(edit.DropServices)+len(edit.PutServices) > 0 {
 		next.services = make(map[string]RoutedService, len(t.services)+len(edit.PutServices))
@@ -156,52 +157,52 @@
 	return next
 }
 
-// Version returns the number of the accepted set.
+// Version returns the version of the Routing.
 func (t *Routing) Version() Version { return t.version }
 
-// Limits returns what a caller may send.
+// Limits returns the limits on what a caller may send.
 func (t *Routing) Limits() CallerLimits { return t.limits }
 
-// Keyring returns the API keys that callers need; nil where they need none.
+// Keyring returns the keyring with the API keys of callers; nil if they need none.
 func (t *Routing) Keyring() *Keyring { return t.keyring }
 
-// Service finds a service by name.
+// Service returns the service with that name.
 func (t *Routing) Service(name string) (RoutedService, bool) {
 	service, ok := t.services[name]
 	return service, ok
 }
 
-// Services returns all services by name; not to be modified.
+// Services returns all services by name. The map must not be modified.
 func (t *Routing) Services() map[string]RoutedService { return t.services }
 
-// afterNames is greater than the names of routes.
-const afterNames = string(utf8.MaxRune)
+// maxName sorts after the names of all routes.
+const maxName = string(utf8.MaxRune)
 
-// Find returns the route of the host whose prefix is the longest that begins
-// the path. The path is taken as the caller sent it.
+// Find returns the route of the host with the longest prefix of the path. The path is compared as
+// the caller sent it.
 //
-// The last route up to the path either begins it, and is the longest that does, or
-// shares a shorter beginning with it, which no longer prefix exceeds.
+// The last route that does not sort after the path is either the longest match, or it has only a
+// shorter prefix in common with the path, and no matching route is longer than that.
 func (t *Routing) Find(host, path string) (*Route, bool) {
-	at := hosted(&Route{Host: host, Prefix: path, Name: afterNames})
+	bound := newHostedRoute(&Route{Host: host, Prefix: path, Name: maxName})
 	for {
 		var last hostedRoute
-		t.routes.DescendLessOrEqual(at, func(route hostedRoute) bool {
+		t.routes.DescendLessOrEqual(bound, func(route hostedRoute) bool {
 			last = route
 			return false
 		})
-		if last.Route == nil || last.host != at.host {
+		if last.Route == nil || last.host != bound.host {
 			return nil, false
 		}
 		if strings.HasPrefix(path, last.Prefix) {
 			return last.Route, true
 		}
-		at.Prefix = path[:shared(at.Prefix, last.Prefix)]
+		bound.Prefix = path[:commonPrefixLen(bound.Prefix, last.Prefix)]
 	}
 }
 
-// shared returns how many bytes two texts begin with alike.
-func shared(a, b string) int {
+// commonPrefixLen returns the length of the common prefix of two strings, in bytes.
+func commonPrefixLen(a, b string) int {
 	n := min(len(a), len(b))
 	for i := range n {
 		if a[i] != b[i] {
--- a/service.go
+++ b/service.go
@@ -1,20 +1,20 @@
 package carawayspread
 
-// Kind tells model engines from plain services.
+// Kind distinguishes services of model engines from plain services.
 type Kind string
 
 // Kinds of services.
 const (
-	KindModel Kind = "model" // endpoints speak the OpenAI protocol and take orders
-	KindPlain Kind = "plain" // endpoints speak HTTP
+	KindModel Kind = "model" // endpoints implement the OpenAI API and execute orders
+	KindPlain Kind = "plain" // endpoints implement any HTTP API
 )
 
-// Service is a named set of endpoints that answer the same requests.
+// Service is a named set of endpoints that serve the same requests.
 type Service struct {
 	name       string // unique in a configuration, not empty
 	kind       Kind
-	models     []string // what a model service offers; empty for plain services
-	repeatable bool     // POST and PATCH of a plain service may run twice
+	models     []string // that a model service offers; empty for plain services
+	repeatable bool     // POST and PATCH of a plain service may run more than once
 }
 
 // NewService returns a service.
@@ -28,8 +28,8 @@
 // Kind returns the kind of its endpoints.
 func (s Service) Kind() Kind { return s.kind }
 
-// Models returns the models that the service offers; not to be modified.
+// Models returns the models that the service offers. The slice must not be modified.
 func (s Service) Models() []string { return s.models }
 
-// Repeatable reports whether unsafe methods of a plain service may run twice.
+// Repeatable reports whether POST and PATCH requests of a plain service may run more than once.
 func (s Service) Repeatable() bool { return s.repeatable }
