--- a/internal/decision/fairqueue/flow.go
+++ b/internal/decision/fairqueue/flow.go
@@ -13,12 +13,12 @@
 	flow   *flow
 	latest time.Time // the last moment at which it may be sent
 	work   float64   // seconds of a slot, as estimated when it was offered
-	slot   int       // its bucket of ahead
+	bucket int       // its bucket of ahead
 
-	inFlow   int           // place in flow.jobs, or -1
-	inLatest int           // place in Scheduler.byLatest, or -1
-	arrival  *list.Element // place in flow.arrivals, nil when not queued there
-	parking  *list.Element // place in Scheduler.parked, nil when not there
+	flowIndex   int           // place in flow.jobs, or -1
+	latestIndex int           // place in Scheduler.byLatest, or -1
+	arrival     *list.Element // place in flow.arrivals, nil when not queued there
+	parking     *list.Element // place in Scheduler.parked, nil when not there
 }
 
 // flow is the queue of one workspace.
@@ -30,22 +30,22 @@
 	tag      float64
 	queued   float64 // work in jobs; not negative
 	running  int     // jobs that Next returned and that did not come back
-	jobs     ordered[*item]
+	jobs     indexedHeap[*item]
 	arrivals list.List // the same jobs, oldest first
 
-	inTags, inEligible, inAhead, inEnds int // places in the heaps of Scheduler, or -1
+	tagsIndex, eligibleIndex, ineligibleIndex, endsIndex int // places in the heaps of Scheduler, or -1
 }
 
 func newFlow(workspace string) *flow {
 	return &flow{
-		workspace:  workspace,
-		inTags:     -1,
-		inEligible: -1,
-		inAhead:    -1,
-		inEnds:     -1,
-		jobs: ordered[*item]{
+		workspace:       workspace,
+		tagsIndex:       -1,
+		eligibleIndex:   -1,
+		ineligibleIndex: -1,
+		endsIndex:       -1,
+		jobs: indexedHeap[*item]{
 			less:  func(a, b *item) bool { return a.latest.Before(b.latest) },
-			place: func(i *item) *int { return &i.inFlow },
+			index: func(i *item) *int { return &i.flowIndex },
 		},
 	}
 }
--- a/internal/decision/fairqueue/heap.go
+++ b/internal/decision/fairqueue/heap.go
@@ -2,54 +2,54 @@
 
 import "container/heap"
 
-// ordered is a heap whose members know their places, so that any of them can
+// indexedHeap is a heap whose members know their places, so that any of them can
 // be moved or removed in logarithmic time.
-type ordered[T any] struct {
+type indexedHeap[T any] struct {
 	members []T
 	less    func(a, b T) bool
-	place   func(T) *int // where the member keeps its place; -1 outside
+	index   func(T) *int // where the member keeps its place; -1 outside
 }
 
-func (o *ordered[T]) Len() int           { return len(o.members) }
-func (o *ordered[T]) Less(i, j int) bool { return o.less(o.members[i], o.members[j]) }
+func (o *indexedHeap[T]) Len() int           { return len(o.members) }
+func (o *indexedHeap[T]) Less(i, j int) bool { return o.less(o.members[i], o.members[j]) }
 
-func (o *ordered[T]) Swap(i, j int) {
+func (o *indexedHeap[T]) Swap(i, j int) {
 	o.members[i], o.members[j] = o.members[j], o.members[i]
-	*o.place(o.members[i]) = i
-	*o.place(o.members[j]) = j
+	*o.index(o.members[i]) = i
+	*o.index(o.members[j]) = j
 }
 
 // Push is part of heap.Interface.
-func (o *ordered[T]) Push(x any) {
+func (o *indexedHeap[T]) Push(x any) {
 	member := x.(T)
-	*o.place(member) = len(o.members)
+	*o.index(member) = len(o.members)
 	o.members = append(o.members, member)
 }
 
 // Pop is part of heap.Interface.
-func (o *ordered[T]) Pop() any {
+func (o *indexedHeap[T]) Pop() any {
 	last := len(o.members) - 1
 	member := o.members[last]
 	var none T
 	o.members[last] = none
 	o.members = o.members[:last]
-	*o.place(member) = -1
+	*o.index(member) = -1
 	return member
 }
 
-func (o *ordered[T]) top() T { return o.members[0] }
+func (o *indexedHeap[T]) top() T { return o.members[0] }
 
 // put adds the member or moves it to where it now belongs.
-func (o *ordered[T]) put(member T) {
-	if i := *o.place(member); i >= 0 {
+func (o *indexedHeap[T]) put(member T) {
+	if i := *o.index(member); i >= 0 {
 		heap.Fix(o, i)
 		return
 	}
 	heap.Push(o, member)
 }
 
-func (o *ordered[T]) remove(member T) {
-	if i := *o.place(member); i >= 0 {
+func (o *indexedHeap[T]) remove(member T) {
+	if i := *o.index(member); i >= 0 {
 		heap.Remove(o, i)
 	}
 }
--- a/internal/decision/fairqueue/rates.go
+++ b/internal/decision/fairqueue/rates.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// memory is how long a measurement counts: long enough to hold some
+	// decayTime is how long a measurement counts: long enough to hold some
 	// hundred answers of a small fleet, short against the minutes in which
 	// the mix moves.
-	memory = 30 * time.Second
-	// enough answers must be counted before an estimate may refuse a job.
-	enough = 8
-	// lateShare is the share of jobs that may take longer than estimated. It
+	decayTime = 30 * time.Second
+	// minAnswers answers must be counted before an estimate may refuse a job.
+	minAnswers = 8
+	// lateFraction is the share of jobs that may take longer than estimated. It
 	// follows the customary target of 95 in 100.
-	lateShare = 0.05
+	lateFraction = 0.05
 	// marginStep moves the margin by a twentieth for each surprise, so that it
 	// settles within about a hundred answers.
 	marginStep = 0.05
 	maxMargin  = 4.0
-	// leastWork is charged for any job, so that empty ones are not free.
-	leastWork = 0.001
+	// minWork is charged for any job, so that empty ones are not free.
+	minWork = 0.001
 )
 
 // ratio is a decayed sum of seconds over a decayed sum of units.
@@ -58,17 +58,17 @@
 
 // rates turns tokens into seconds of a slot, as measured.
 type rates struct {
-	prefill ratio
-	decode  ratio
-	plain   ratio
-	answers float64 // decayed count
-	first   margin
-	whole   margin
-	updated time.Time
+	prefill     ratio
+	decode      ratio
+	plain       ratio
+	answers     float64 // decayed count
+	firstMargin margin
+	wholeMargin margin
+	updated     time.Time
 }
 
 func newRates(now time.Time) rates {
-	return rates{first: 1, whole: 1, updated: now}
+	return rates{firstMargin: 1, wholeMargin: 1, updated: now}
 }
 
 // margin is the factor on an estimate that all but lateShare of the jobs keep
@@ -76,14 +76,14 @@
 // the mean alone half of it would be late.
 type margin float64
 
-func (m *margin) learn(measured, estimated float64) {
+func (m *margin) update(measured, estimated float64) {
 	if estimated <= 0 {
 		return
 	}
 	if measured > float64(*m)*estimated {
-		*m *= 1 + marginStep*(1-lateShare)
+		*m *= 1 + marginStep*(1-lateFraction)
 	} else {
-		*m *= 1 - marginStep*lateShare
+		*m *= 1 - marginStep*lateFraction
 	}
 	*m = min(max(*m, 1), maxMargin)
 }
@@ -92,10 +92,10 @@
 	if served.Took <= 0 {
 		return
 	}
-	r.age(now)
-	if r.answers >= enough {
-		r.first.learn(served.FirstToken.Seconds(), r.firstSeconds(served.Cost))
-		r.whole.learn(served.Took.Seconds(), r.work(served.Cost))
+	r.decay(now)
+	if r.answers >= minAnswers {
+		r.firstMargin.update(served.FirstToken.Seconds(), r.firstTokenSeconds(served.Cost))
+		r.wholeMargin.update(served.Took.Seconds(), r.work(served.Cost))
 	}
 	r.answers++
 	if plain(served.Cost) {
@@ -106,8 +106,8 @@
 	r.decode.add((served.Took - served.FirstToken).Seconds(), float64(served.Cost.Decode))
 }
 
-func (r *rates) age(now time.Time) {
-	by := math.Exp(-now.Sub(r.updated).Seconds() / memory.Seconds())
+func (r *rates) decay(now time.Time) {
+	by := math.Exp(-now.Sub(r.updated).Seconds() / decayTime.Seconds())
 	r.updated = now
 	r.answers *= by
 	r.prefill.decay(by)
@@ -120,13 +120,13 @@
 // work returns the seconds of a slot that the cost takes.
 func (r *rates) work(cost carawayspread.Cost) float64 {
 	if plain(cost) {
-		return max(leastWork, r.plain.value(priorPlain))
+		return max(minWork, r.plain.value(priorPlain))
 	}
 	decode := float64(cost.Decode) * r.decode.value(priorDecode)
-	return max(leastWork, r.firstSeconds(cost)+decode)
+	return max(minWork, r.firstTokenSeconds(cost)+decode)
 }
 
-func (r *rates) firstSeconds(cost carawayspread.Cost) float64 {
+func (r *rates) firstTokenSeconds(cost carawayspread.Cost) float64 {
 	return float64(cost.Prefill) * r.prefill.value(priorPrefill)
 }
 
@@ -134,11 +134,11 @@
 // target and its caller's deadline.
 func (r *rates) latestSend(job *carawayspread.Job) time.Time {
 	var first, whole time.Duration
-	if r.answers >= enough {
-		first = seconds(float64(r.first) * r.firstSeconds(job.Cost))
-		whole = seconds(float64(r.whole) * r.work(job.Cost))
+	if r.answers >= minAnswers {
+		first = seconds(float64(r.firstMargin) * r.firstTokenSeconds(job.Cost))
+		whole = seconds(float64(r.wholeMargin) * r.work(job.Cost))
 	}
-	latest := job.Arrived.Add(patience)
+	latest := job.Arrived.Add(maxQueueWait)
 	target := job.Class.Target()
 	if target.FirstToken() > 0 {
 		latest = earlier(latest, job.Arrived.Add(target.FirstToken()-first))
--- a/internal/decision/fairqueue/scheduler.go
+++ b/internal/decision/fairqueue/scheduler.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// patience bounds the wait of a class whose target states no time to the
+	// maxQueueWait bounds the wait of a class whose target states no time to the
 	// first token or to the whole answer.
-	patience = 10 * time.Minute
+	maxQueueWait = 10 * time.Minute
 	// defaultMaxJobs bounds the memory of a queue: at about 300 bytes a job
 	// and 40 KB of body behind it, 4,096 jobs are what a thin instance holds.
 	defaultMaxJobs = 4096
-	// unparkEach bounds the attempts at placing jobs again after each change.
+	// unparkBatch bounds the attempts at placing jobs again after each change.
 	// The others stay aside, so that jobs which wait for one busy endpoint do
 	// not hold those that can go elsewhere.
-	unparkEach = 4
-	// parkedFor is how long a job that could not be placed waits at most for
+	unparkBatch = 4
+	// maxParkTime is how long a job that could not be placed waits at most for
 	// the next attempt: a place that another process freed is not seen here.
-	parkedFor = 20 * time.Millisecond
+	maxParkTime = 20 * time.Millisecond
 	// grace lets a job that found a free slot be sent although it is estimated
 	// to be late.
 	grace = 50 * time.Millisecond
-	// caution is the factor on a predicted wait. A wait varies round its
+	// waitSafetyFactor is the factor on a predicted wait. A wait varies round its
 	// prediction: at 1.2 times the capacity a factor of 1.5 left 6.8% of the
 	// jobs to be refused late, 2 leaves 3.8%, at the same goodput; 3 leaves 1%
 	// and costs half a per cent of goodput at capacity.
-	caution = 2
+	waitSafetyFactor = 2
 	// windowJobs is the window in mean jobs. Beside a caller at ten times its
 	// share, workspaces that used nine tenths of theirs got 97.0% of their
 	// answers in time with one job, 93.9% with four and 91.4% with eight.
@@ -43,21 +43,21 @@
 // Scheduler is a carawayspread.Scheduler that shares slots fairly between
 // workspaces and, within that, serves the most urgent job first.
 type Scheduler struct {
-	clock    carawayspread.Clock
-	random   *rand.Rand
-	maxJobs  int
-	shares   *shares
-	byLatest ordered[*item] // all queued and parked jobs
-	ahead    ahead
-	rates    rates
-	drain    drain
-	queued   float64 // work of all queued and parked jobs
-	meanWork float64 // of one job, smoothed; zero before the first
-	items    map[*carawayspread.Job]*item
-	running  map[*carawayspread.Job]*item
-	parked   list.List               // of *item that could not be placed, the oldest first
-	parkedAt time.Time               // when the oldest of parked could not be placed
-	refused  []carawayspread.Refused // evicted jobs, until Expired is asked
+	clock        carawayspread.Clock
+	random       *rand.Rand
+	maxJobs      int
+	shares       *shares
+	byLatest     indexedHeap[*item] // all queued and parked jobs
+	workByLatest histogram
+	rates        rates
+	drain        drainMeter
+	queued       float64 // work of all queued and parked jobs
+	meanWork     float64 // of one job, smoothed; zero before the first
+	items        map[*carawayspread.Job]*item
+	running      map[*carawayspread.Job]*item
+	parked       list.List               // of *item that could not be placed, the oldest first
+	unparkedAt   time.Time               // when the oldest of parked could not be placed
+	refused      []carawayspread.Refused // evicted jobs, until Expired is asked
 }
 
 // Option sets an optional part of a Scheduler.
@@ -74,18 +74,18 @@
 func New(env carawayspread.Environment, opts ...Option) *Scheduler {
 	now := env.Clock.Now()
 	s := &Scheduler{
-		clock:   env.Clock,
-		random:  env.Rand,
-		maxJobs: defaultMaxJobs,
-		shares:  newShares(),
-		ahead:   ahead{epoch: now},
-		rates:   newRates(now),
-		drain:   drain{slots: 1, updated: now},
-		items:   map[*carawayspread.Job]*item{},
-		running: map[*carawayspread.Job]*item{},
-		byLatest: ordered[*item]{
+		clock:        env.Clock,
+		random:       env.Rand,
+		maxJobs:      defaultMaxJobs,
+		shares:       newShares(),
+		workByLatest: histogram{epoch: now},
+		rates:        newRates(now),
+		drain:        drainMeter{slots: 1, updated: now},
+		items:        map[*carawayspread.Job]*item{},
+		running:      map[*carawayspread.Job]*item{},
+		byLatest: indexedHeap[*item]{
 			less:  func(a, b *item) bool { return a.latest.Before(b.latest) },
-			place: func(i *item) *int { return &i.inLatest },
+			index: func(i *item) *int { return &i.latestIndex },
 		},
 	}
 	for _, opt := range opts {
@@ -97,19 +97,19 @@
 // Offer queues the job or refuses it at once.
 func (s *Scheduler) Offer(job *carawayspread.Job) error {
 	now := s.tick()
-	s.rates.age(now)
+	s.rates.decay(now)
 	i := &item{
-		job:      job,
-		flow:     s.shares.flow(job.Workspace),
-		latest:   s.rates.latestSend(job),
-		work:     s.rates.work(job.Cost),
-		inFlow:   -1,
-		inLatest: -1,
+		job:         job,
+		flow:        s.shares.flow(job.Workspace),
+		latest:      s.rates.latestSend(job),
+		work:        s.rates.work(job.Cost),
+		flowIndex:   -1,
+		latestIndex: -1,
 	}
 	if err := s.admit(now, i); err != nil {
 		return err
 	}
-	s.learnWork(i.work)
+	s.updateMeanWork(i.work)
 	s.items[job] = i
 	s.enqueue(i)
 	return nil
@@ -125,7 +125,7 @@
 	if idle && !expired {
 		i.latest = later(i.latest, now.Add(grace))
 	}
-	i.slot = s.ahead.slot(now, i.latest)
+	i.bucket = s.workByLatest.bucket(now, i.latest)
 	if idle && !expired {
 		return nil
 	}
@@ -133,7 +133,7 @@
 	if late > 0 {
 		return s.refusal(now, i, late)
 	}
-	if len(s.items) >= s.maxJobs || s.queued > s.drain.rate()*patience.Seconds() {
+	if len(s.items) >= s.maxJobs || s.queued > s.drain.rate()*maxQueueWait.Seconds() {
 		return s.makeRoom(now, i)
 	}
 	return nil
@@ -143,14 +143,14 @@
 // counts: what is at least as urgent goes first, and the workspace receives its
 // equal part after what it has queued itself.
 func (s *Scheduler) wait(now time.Time, i *item) time.Duration {
-	urgent := s.ahead.until(now, i.slot)
+	urgent := s.workByLatest.until(now, i.bucket)
 	waiting := s.shares.backlogged()
 	if i.flow.jobs.Len() == 0 {
 		waiting++
 	}
-	lead := max(i.flow.tag-s.shares.virtual, -s.shares.credit)
+	lead := max(i.flow.tag-s.shares.virtualTime, -s.shares.credit)
 	own := max(0, i.flow.queued+lead+i.work/2) * float64(waiting)
-	return seconds(caution * min(urgent, own) / s.drain.rate())
+	return seconds(waitSafetyFactor * min(urgent, own) / s.drain.rate())
 }
 
 // makeRoom evicts the newest job of the workspace that asks for most beyond
@@ -161,7 +161,7 @@
 		return s.refusal(now, i, over)
 	}
 	largest := s.shares.ends.top()
-	if largest == i.flow || largest.end() <= max(i.flow.tag, s.shares.virtual)+i.flow.queued+i.work {
+	if largest == i.flow || largest.end() <= max(i.flow.tag, s.shares.virtualTime)+i.flow.queued+i.work {
 		return s.refusal(now, i, over)
 	}
 	s.refuse(now, largest.newest(), over)
@@ -170,7 +170,7 @@
 
 // refuse ends a queued or parked job.
 func (s *Scheduler) refuse(now time.Time, i *item, late time.Duration) {
-	s.forget(i)
+	s.dequeue(i)
 	s.refused = append(s.refused, carawayspread.Refused{Job: i.job, Err: s.refusal(now, i, late)})
 }
 
@@ -178,7 +178,7 @@
 func (s *Scheduler) Next() *carawayspread.Job {
 	now := s.tick()
 	s.expire(now)
-	if s.parked.Len() > 0 && now.Sub(s.parkedAt) >= parkedFor {
+	if s.parked.Len() > 0 && now.Sub(s.unparkedAt) >= maxParkTime {
 		s.unpark(now)
 	}
 	if len(s.running) >= s.drain.slots {
@@ -188,7 +188,7 @@
 	if i == nil {
 		return nil
 	}
-	s.forget(i)
+	s.dequeue(i)
 	s.running[i.job] = i
 	i.flow.running++
 	s.shares.charge(i.flow, i.work)
@@ -204,9 +204,9 @@
 	}
 	s.release(i, 0)
 	s.items[job] = i
-	i.slot = s.ahead.slot(now, i.latest)
+	i.bucket = s.workByLatest.bucket(now, i.latest)
 	i.parking = s.parked.PushBack(i)
-	s.count(i)
+	s.track(i)
 	if len(s.items) > s.maxJobs {
 		s.shrink(now)
 	}
@@ -256,7 +256,7 @@
 	s.tick()
 	i, ok := s.items[job]
 	if ok {
-		s.forget(i)
+		s.dequeue(i)
 	}
 	return ok
 }
@@ -285,21 +285,21 @@
 }
 
 func (s *Scheduler) enqueue(i *item) {
-	s.count(i)
+	s.track(i)
 	s.shares.add(i.flow, i)
 }
 
-func (s *Scheduler) count(i *item) {
+func (s *Scheduler) track(i *item) {
 	s.byLatest.put(i)
-	s.ahead.add(i.slot, i.work)
+	s.workByLatest.add(i.bucket, i.work)
 	s.queued += i.work
 }
 
-// forget removes a queued or parked job from every order.
-func (s *Scheduler) forget(i *item) {
+// dequeue removes a queued or parked job from every order.
+func (s *Scheduler) dequeue(i *item) {
 	delete(s.items, i.job)
 	s.byLatest.remove(i)
-	s.ahead.add(i.slot, -i.work)
+	s.workByLatest.add(i.bucket, -i.work)
 	s.queued = max(0, s.queued-i.work)
 	if i.parking == nil {
 		s.shares.remove(i)
@@ -317,8 +317,8 @@
 }
 
 func (s *Scheduler) unpark(now time.Time) {
-	s.parkedAt = now
-	for range min(unparkEach, s.parked.Len()) {
+	s.unparkedAt = now
+	for range min(unparkBatch, s.parked.Len()) {
 		i := s.parked.Remove(s.parked.Front()).(*item)
 		i.parking = nil
 		i.flow = s.shares.flow(i.job.Workspace)
@@ -326,7 +326,7 @@
 	}
 }
 
-func (s *Scheduler) learnWork(work float64) {
+func (s *Scheduler) updateMeanWork(work float64) {
 	const weight = 0.05
 	if s.meanWork == 0 {
 		s.meanWork = work
--- a/internal/decision/fairqueue/scheduler_test.go
+++ b/internal/decision/fairqueue/scheduler_test.go
@@ -186,7 +186,7 @@
 // next one is refused at once.
 func TestFreeSlotIsNeverRefused(t *testing.T) {
 	s, clock := newTestScheduler()
-	for range 2 * enough {
+	for range 2 * minAnswers {
 		job := newJob(clock, "w", time.Second, 10)
 		qt.Assert(t, s.Offer(job), qt.IsNil)
 		clock.Advance(time.Millisecond)
--- a/internal/decision/fairqueue/shares.go
+++ b/internal/decision/fairqueue/shares.go
@@ -3,34 +3,34 @@
 // shares keeps the backlogged workspaces in the order in which they are
 // served. All calls take logarithmic time.
 type shares struct {
-	flows   map[string]*flow
-	swept   int     // flows that the last sweep left
-	virtual float64 // the smallest tag of a backlogged flow; never falls
+	flows           map[string]*flow
+	flowsAfterSweep int     // flows that the last sweep left
+	virtualTime     float64 // the smallest tag of a backlogged flow; never falls
 	// window is how far, in work, an urgent workspace may run ahead of the one
 	// that received least.
 	window float64
 	// credit is how much unused share a workspace keeps.
 	credit float64
 
-	tags     ordered[*flow] // all backlogged flows by tag
-	eligible ordered[*flow] // those within the window, the most urgent first
-	ahead    ordered[*flow] // those beyond the window, by tag
-	ends     ordered[*flow] // all backlogged flows, the largest end first
+	tags       indexedHeap[*flow] // all backlogged flows by tag
+	eligible   indexedHeap[*flow] // those within the window, the most urgent first
+	ineligible indexedHeap[*flow] // those beyond the window, by tag
+	ends       indexedHeap[*flow] // all backlogged flows, the largest end first
 }
 
 func newShares() *shares {
 	byTag := func(a, b *flow) bool { return a.tag < b.tag }
 	return &shares{
-		flows: map[string]*flow{},
-		tags:  ordered[*flow]{less: byTag, place: func(f *flow) *int { return &f.inTags }},
-		ahead: ordered[*flow]{less: byTag, place: func(f *flow) *int { return &f.inAhead }},
-		eligible: ordered[*flow]{
+		flows:      map[string]*flow{},
+		tags:       indexedHeap[*flow]{less: byTag, index: func(f *flow) *int { return &f.tagsIndex }},
+		ineligible: indexedHeap[*flow]{less: byTag, index: func(f *flow) *int { return &f.ineligibleIndex }},
+		eligible: indexedHeap[*flow]{
 			less:  func(a, b *flow) bool { return a.jobs.top().latest.Before(b.jobs.top().latest) },
-			place: func(f *flow) *int { return &f.inEligible },
+			index: func(f *flow) *int { return &f.eligibleIndex },
 		},
-		ends: ordered[*flow]{
+		ends: indexedHeap[*flow]{
 			less:  func(a, b *flow) bool { return a.end() > b.end() },
-			place: func(f *flow) *int { return &f.inEnds },
+			index: func(f *flow) *int { return &f.endsIndex },
 		},
 	}
 }
@@ -41,7 +41,7 @@
 	if !ok {
 		s.sweep()
 		f = newFlow(workspace)
-		f.tag = s.virtual
+		f.tag = s.virtualTime
 		s.flows[workspace] = f
 	}
 	return f
@@ -50,61 +50,61 @@
 // sweep forgets workspaces that have nothing queued, running or owed. Its cost
 // is spread over the workspaces that came since the last one.
 func (s *shares) sweep() {
-	const few = 64
-	if len(s.flows) < 2*s.swept+few {
+	const minFlows = 64
+	if len(s.flows) < 2*s.flowsAfterSweep+minFlows {
 		return
 	}
 	for name, f := range s.flows {
-		if f.jobs.Len() == 0 && f.running == 0 && f.tag <= s.virtual {
+		if f.jobs.Len() == 0 && f.running == 0 && f.tag <= s.virtualTime {
 			delete(s.flows, name)
 		}
 	}
-	s.swept = len(s.flows)
+	s.flowsAfterSweep = len(s.flows)
 }
 
 func (s *shares) add(f *flow, i *item) {
 	if f.jobs.Len() == 0 {
-		f.tag = max(f.tag, s.virtual-s.credit)
+		f.tag = max(f.tag, s.virtualTime-s.credit)
 	}
 	f.add(i)
-	s.place(f)
+	s.reorder(f)
 }
 
 func (s *shares) remove(i *item) {
 	i.flow.remove(i)
-	s.place(i.flow)
+	s.reorder(i.flow)
 }
 
 // charge moves the tag of a flow by the work that it received, or got back.
 func (s *shares) charge(f *flow, work float64) {
 	f.tag += work
 	if f.jobs.Len() > 0 {
-		s.place(f)
+		s.reorder(f)
 	}
 }
 
-// place puts a changed flow where it belongs in each heap.
-func (s *shares) place(f *flow) {
+// reorder puts a changed flow where it belongs in each heap.
+func (s *shares) reorder(f *flow) {
 	if f.jobs.Len() == 0 {
 		s.tags.remove(f)
 		s.eligible.remove(f)
-		s.ahead.remove(f)
+		s.ineligible.remove(f)
 		s.ends.remove(f)
 	} else {
 		s.tags.put(f)
 		s.ends.put(f)
-		s.admit(f)
+		s.updateEligibility(f)
 	}
 	s.advance()
 }
 
-func (s *shares) admit(f *flow) {
-	if f.tag > s.virtual+s.window {
+func (s *shares) updateEligibility(f *flow) {
+	if f.tag > s.virtualTime+s.window {
 		s.eligible.remove(f)
-		s.ahead.put(f)
+		s.ineligible.put(f)
 		return
 	}
-	s.ahead.remove(f)
+	s.ineligible.remove(f)
 	s.eligible.put(f)
 }
 
@@ -113,9 +113,9 @@
 	if s.tags.Len() == 0 {
 		return
 	}
-	s.virtual = max(s.virtual, s.tags.top().tag)
-	for s.ahead.Len() > 0 && s.ahead.top().tag <= s.virtual+s.window {
-		s.admit(s.ahead.top())
+	s.virtualTime = max(s.virtualTime, s.tags.top().tag)
+	for s.ineligible.Len() > 0 && s.ineligible.top().tag <= s.virtualTime+s.window {
+		s.updateEligibility(s.ineligible.top())
 	}
 }
 
--- a/internal/decision/fifo/scheduler.go
+++ b/internal/decision/fifo/scheduler.go
@@ -11,17 +11,17 @@
 
 // Scheduler is a carawayspread.Scheduler in the order of arrival.
 type Scheduler struct {
-	slots   int
-	queue   list.List // of *carawayspread.Job, the oldest first
-	places  map[*carawayspread.Job]*list.Element
-	running map[*carawayspread.Job]bool
-	parked  []*carawayspread.Job // put back, until the next Done, Capacity or parkedFor
-	clock   carawayspread.Clock
-	since   time.Time // when the last job was put back
+	slots    int
+	queue    list.List // of *carawayspread.Job, the oldest first
+	elements map[*carawayspread.Job]*list.Element
+	running  map[*carawayspread.Job]bool
+	parked   []*carawayspread.Job // put back, until the next Done, Capacity or parkedFor
+	clock    carawayspread.Clock
+	parkedAt time.Time // when the last job was put back
 }
 
-// parkedFor is how long a job that could not be placed holds the queue at most.
-const parkedFor = 20 * time.Millisecond
+// maxParkTime is how long a job that could not be placed holds the queue at most.
+const maxParkTime = 20 * time.Millisecond
 
 var _ = carawayspread.Schedulers.Register("fifo", func(env carawayspread.Environment) carawayspread.Scheduler {
 	return New(env)
@@ -30,22 +30,22 @@
 // New returns an empty queue with one slot.
 func New(env carawayspread.Environment) *Scheduler {
 	return &Scheduler{
-		clock:   env.Clock,
-		slots:   1,
-		places:  map[*carawayspread.Job]*list.Element{},
-		running: map[*carawayspread.Job]bool{},
+		clock:    env.Clock,
+		slots:    1,
+		elements: map[*carawayspread.Job]*list.Element{},
+		running:  map[*carawayspread.Job]bool{},
 	}
 }
 
 // Offer queues the job.
 func (s *Scheduler) Offer(job *carawayspread.Job) error {
-	s.places[job] = s.queue.PushBack(job)
+	s.elements[job] = s.queue.PushBack(job)
 	return nil
 }
 
 // Next returns the oldest job while slots are free.
 func (s *Scheduler) Next() *carawayspread.Job {
-	if len(s.parked) > 0 && s.clock.Now().Sub(s.since) >= parkedFor {
+	if len(s.parked) > 0 && s.clock.Now().Sub(s.parkedAt) >= maxParkTime {
 		s.unpark()
 	}
 	oldest := s.queue.Front()
@@ -53,7 +53,7 @@
 		return nil
 	}
 	job := s.queue.Remove(oldest).(*carawayspread.Job)
-	delete(s.places, job)
+	delete(s.elements, job)
 	s.running[job] = true
 	return job
 }
@@ -62,7 +62,7 @@
 func (s *Scheduler) Requeue(job *carawayspread.Job) {
 	delete(s.running, job)
 	s.parked = append(s.parked, job)
-	s.since = s.clock.Now()
+	s.parkedAt = s.clock.Now()
 }
 
 // Expired returns nothing: no job is ever refused.
@@ -76,10 +76,10 @@
 			return true
 		}
 	}
-	place, ok := s.places[job]
+	element, ok := s.elements[job]
 	if ok {
-		s.queue.Remove(place)
-		delete(s.places, job)
+		s.queue.Remove(element)
+		delete(s.elements, job)
 	}
 	return ok
 }
@@ -101,7 +101,7 @@
 
 func (s *Scheduler) unpark() {
 	for _, job := range s.parked {
-		s.places[job] = s.queue.PushFront(job)
+		s.elements[job] = s.queue.PushFront(job)
 	}
 	s.parked = nil
 }
--- a/internal/decision/hashrouter/endpoint.go
+++ b/internal/decision/hashrouter/endpoint.go
@@ -11,27 +11,27 @@
 // endpoint is what this entry knows of one worker. It lives on through changes
 // of the endpoint list.
 type endpoint struct {
-	id   carawayspread.EndpointID
-	own  atomic.Int64
-	last atomic.Pointer[heard] // nil before the first report
+	id       carawayspread.EndpointID
+	inFlight atomic.Int64
+	last     atomic.Pointer[receivedReport] // nil before the first report
 	// crashed is when a report last told of a crash, in Unix nanoseconds; zero
 	// when none did.
 	crashed atomic.Int64
 }
 
-// heard is a report with what was known when it came. It is immutable.
-type heard struct {
-	report carawayspread.Report
-	own    int64 // attempts of this entry that ran when the report came
+// receivedReport is a report with what was known when it came. It is immutable.
+type receivedReport struct {
+	report   carawayspread.Report
+	inFlight int64 // attempts of this entry that ran when the report came
 }
 
-// hear keeps the newer of two reports, since datagrams overtake one another.
+// update keeps the newer of two reports, since datagrams overtake one another.
 // It reports whether the role or the resident models changed.
-func (e *endpoint) hear(report carawayspread.Report) bool {
+func (e *endpoint) update(report carawayspread.Report) bool {
 	if report.Crashed {
 		e.crashed.Store(report.Taken.UnixNano())
 	}
-	next := &heard{report: report, own: e.own.Load()}
+	next := &receivedReport{report: report, inFlight: e.inFlight.Load()}
 	for {
 		last := e.last.Load()
 		if last != nil && !report.Taken.After(last.report.Taken) {
@@ -51,29 +51,29 @@
 // report that grows old loses its weight, so that silence does not send work
 // to the endpoints that were idle last.
 func (e *endpoint) load(now time.Time) float64 {
-	own := e.own.Load()
+	inFlight := e.inFlight.Load()
 	last := e.last.Load()
 	if last == nil {
-		return float64(own) / unknownSlots
+		return float64(inFlight) / unknownSlots
 	}
 	report := &last.report
 	slots := float64(max(1, report.Slots))
-	told := float64(report.Running+report.Waiting) + float64(own-last.own)
-	weight := 1 - min(1, float64(now.Sub(report.Taken))/float64(reportLife))
-	return max(0, weight*told+(1-weight)*float64(own)) / slots
+	reported := float64(report.Running+report.Waiting) + float64(inFlight-last.inFlight)
+	weight := 1 - min(1, float64(now.Sub(report.Taken))/float64(reportTTL))
+	return max(0, weight*reported+(1-weight)*float64(inFlight)) / slots
 }
 
 // full reports whether the endpoint said a moment ago that its queue is long.
 // Refusals carry the load, so that an entry does not ask again at once.
 func (e *endpoint) full(now time.Time) bool {
 	last := e.last.Load()
-	return last != nil && now.Sub(last.report.Taken) < fullLife && e.load(now) >= fullLoad
+	return last != nil && now.Sub(last.report.Taken) < fullTTL && e.load(now) >= fullLoad
 }
 
-// down reports whether the endpoint said that it takes no work. A report of a
+// unavailable reports whether the endpoint said that it takes no work. A report of a
 // crash is believed for a while only: the sidecar may be gone and its endpoint
 // back under another one.
-func (e *endpoint) down(now time.Time) bool {
+func (e *endpoint) unavailable(now time.Time) bool {
 	last := e.last.Load()
 	if last == nil {
 		return false
@@ -81,7 +81,7 @@
 	if last.report.Draining {
 		return true
 	}
-	return last.report.Crashed && now.Sub(last.report.Taken) < crashLife
+	return last.report.Crashed && now.Sub(last.report.Taken) < crashTTL
 }
 
 // role returns the reported role; an endpoint that reported none takes all.
--- a/internal/decision/hashrouter/heat.go
+++ b/internal/decision/hashrouter/heat.go
@@ -6,10 +6,10 @@
 	// heatCounters leaves seven in eight counters at zero, so that few new
 	// prefixes look like known ones. They take 256 KB.
 	heatCounters = 65536
-	// heatMemory is the number of attempts after which all counts are halved.
-	heatMemory = 8192
-	// heatLeast is the count below which chance decides.
-	heatLeast = 8
+	// heatWindow is the number of attempts after which all counts are halved.
+	heatWindow = 8192
+	// minHotCount is the count below which chance decides.
+	minHotCount = 8
 )
 
 // heat counts the attempts of this entry by prefix. Prefixes that share a
@@ -21,7 +21,7 @@
 
 func (h *heat) add(prefix uint64) {
 	h.counts[prefix%heatCounters].Add(1)
-	if h.total.Add(1) == heatMemory {
+	if h.total.Add(1) == heatWindow {
 		h.halve()
 	}
 }
@@ -31,37 +31,37 @@
 	for i := range h.counts {
 		h.counts[i].Store(h.counts[i].Load() / 2)
 	}
-	h.total.Store(heatMemory / 2)
+	h.total.Store(heatWindow / 2)
 }
 
-// known reports whether the prefix was sent lately, so that it may be cached.
-func (h *heat) known(prefix uint64) bool { return h.counts[prefix%heatCounters].Load() > 0 }
+// seen reports whether the prefix was sent lately, so that it may be cached.
+func (h *heat) seen(prefix uint64) bool { return h.counts[prefix%heatCounters].Load() > 0 }
 
 // hot reports whether the prefix alone fills half of an endpoint, when load is
 // spread evenly over n of them.
 func (h *heat) hot(prefix uint64, n int) bool {
 	count := h.counts[prefix%heatCounters].Load()
-	return count >= heatLeast && 2*int(count)*n > int(h.total.Load())
+	return count >= minHotCount && 2*int(count)*n > int(h.total.Load())
 }
 
 // budget lets a share of the attempts overflow. It holds thousandths.
 type budget struct{ left atomic.Int64 }
 
 const (
-	whole      = 1000
-	budgetMost = 32 * whole
+	budgetUnit = 1000
+	maxBudget  = 32 * budgetUnit
 )
 
 func (b *budget) earn(part int64) {
-	if b.left.Load() < budgetMost {
+	if b.left.Load() < maxBudget {
 		b.left.Add(part)
 	}
 }
 
 func (b *budget) spend() bool {
-	if b.left.Add(-whole) >= 0 {
+	if b.left.Add(-budgetUnit) >= 0 {
 		return true
 	}
-	b.left.Add(whole)
+	b.left.Add(budgetUnit)
 	return false
 }
--- a/internal/decision/hashrouter/pick.go
+++ b/internal/decision/hashrouter/pick.go
@@ -17,12 +17,12 @@
 	now      time.Time
 }
 
-func (p *pick) ask(e *endpoint) carawayspread.Standing {
+func (p *pick) check(e *endpoint) carawayspread.Standing {
 	if e == nil {
 		return carawayspread.StandingOut
 	}
 	m := p.snapshot.byID[e.id]
-	if m.leaving || !m.lost.IsZero() || e.down(p.now) {
+	if m.leaving || !m.lost.IsZero() || e.unavailable(p.now) {
 		return carawayspread.StandingOut
 	}
 	if e.full(p.now) {
@@ -31,26 +31,26 @@
 	return p.standing(e.id)
 }
 
-// troubled reports whether the endpoint was lost or crashed lately.
-func (p *pick) troubled(e *endpoint) bool {
+// recentlyFailed reports whether the endpoint was lost or crashed lately.
+func (p *pick) recentlyFailed(e *endpoint) bool {
 	if e == nil {
 		return false
 	}
 	crashed := e.crashed.Load()
-	return !p.snapshot.byID[e.id].lost.IsZero() || crashed != 0 && p.now.UnixNano()-crashed < int64(lostLife)
+	return !p.snapshot.byID[e.id].lost.IsZero() || crashed != 0 && p.now.UnixNano()-crashed < int64(lostTTL)
 }
 
 // cost weighs load, distance and residency. An endpoint without the model must
 // load it first, which takes seconds: it is chosen only when the other one
 // lacks the model too.
 func (p *pick) cost(zone string, e *endpoint) float64 {
-	const absent = 10
+	const absentModelCost = 10
 	cost := e.load(p.now)
 	if at := p.snapshot.byID[e.id].zone; zone != "" && at != zone {
-		cost += otherZone
+		cost += crossZoneCost
 	}
 	if !e.holds(p.job.Model) {
-		cost += absent
+		cost += absentModelCost
 	}
 	return cost
 }
@@ -63,8 +63,8 @@
 	best := 0.0
 	hash := mix(p.job.Fingerprint, p.job.Prefix)
 	for n := range uint64(maxDisplaced) {
-		e := rings[int(n)*len(rings)/maxDisplaced].after(mix(hash, n))
-		switch p.ask(e) {
+		e := rings[int(n)*len(rings)/maxDisplaced].successor(mix(hash, n))
+		switch p.check(e) {
 		case carawayspread.StandingBusy:
 			choice.Wait = true
 		case carawayspread.StandingFree:
@@ -75,13 +75,13 @@
 			if e.load(p.now) < best {
 				choice.Endpoint = e.id
 			}
-			return settled(choice)
+			return normalized(choice)
 		}
 	}
-	return settled(choice)
+	return normalized(choice)
 }
 
-func settled(choice carawayspread.Choice) carawayspread.Choice {
+func normalized(choice carawayspread.Choice) carawayspread.Choice {
 	choice.Wait = choice.Wait && choice.Endpoint == ""
 	return choice
 }
--- a/internal/decision/hashrouter/ring.go
+++ b/internal/decision/hashrouter/ring.go
@@ -11,14 +11,14 @@
 	"carawayspread"
 )
 
-// points is the number of places of one endpoint on the ring. With 64 the
+// pointsPerEndpoint is the number of places of one endpoint on the ring. With 64 the
 // shares of endpoints differ by an eighth (one standard deviation), which the
 // choice by load between two candidates evens out.
-const points = 64
+const pointsPerEndpoint = 64
 
 type point struct {
-	hash uint64
-	at   int32 // index into ring.members
+	hash   uint64
+	member int32 // index into ring.members
 }
 
 // ring maps hashes to endpoints so that a changed membership moves only the
@@ -29,10 +29,10 @@
 }
 
 func newRing(members []*endpoint) *ring {
-	r := &ring{members: members, points: make([]point, 0, points*len(members))}
+	r := &ring{members: members, points: make([]point, 0, pointsPerEndpoint*len(members))}
 	for at, member := range members {
-		for n := range points {
-			r.points = append(r.points, point{hash: pointHash(member.id, n), at: int32(at)})
+		for n := range pointsPerEndpoint {
+			r.points = append(r.points, point{hash: pointHash(member.id, n), member: int32(at)})
 		}
 	}
 	slices.SortFunc(r.points, func(a, b point) int {
@@ -56,13 +56,13 @@
 	return sort.Search(len(r.points), func(i int) bool { return r.points[i].hash >= hash })
 }
 
-// after returns the first member at or after the hash that is not one of the
+// successor returns the first member at or successor the hash that is not one of the
 // others, or nil.
-func (r *ring) after(hash uint64, others ...*endpoint) *endpoint {
+func (r *ring) successor(hash uint64, excluded ...*endpoint) *endpoint {
 	start := r.find(hash)
 	for n := range r.points {
-		member := r.members[r.points[(start+n)%len(r.points)].at]
-		if !slices.Contains(others, member) {
+		member := r.members[r.points[(start+n)%len(r.points)].member]
+		if !slices.Contains(excluded, member) {
 			return member
 		}
 	}
--- a/internal/decision/hashrouter/roles_test.go
+++ b/internal/decision/hashrouter/roles_test.go
@@ -32,17 +32,17 @@
 		prefill int
 		want    carawayspread.Role
 	}{
-		"whole":        {prefill: 2 * long, want: carawayspread.RoleBoth},
+		"whole":        {prefill: 2 * longPrompt, want: carawayspread.RoleBoth},
 		"answer":       {phase: carawayspread.RoleDecode, want: carawayspread.RoleBoth},
-		"short prompt": {phase: carawayspread.RolePrefill, prefill: long / 8, want: carawayspread.RoleBoth},
-		"long prompt":  {phase: carawayspread.RolePrefill, prefill: 2 * long, want: carawayspread.RolePrefill},
+		"short prompt": {phase: carawayspread.RolePrefill, prefill: longPrompt / 8, want: carawayspread.RoleBoth},
+		"long prompt":  {phase: carawayspread.RolePrefill, prefill: 2 * longPrompt, want: carawayspread.RolePrefill},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			for n := range uint64(200) {
 				job := &carawayspread.Job{Phase: test.phase, Prefix: 1 + n%16, Fingerprint: n}
 				job.Cost.Prefill = test.prefill
-				choice := r.Pick(job, without())
+				choice := r.Pick(job, freeExcept())
 				qt.Assert(t, choice.Displaced, qt.IsFalse)
 				qt.Assert(t, roles[choice.Endpoint], qt.Equals, test.want)
 			}
--- a/internal/decision/hashrouter/router.go
+++ b/internal/decision/hashrouter/router.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// reportLife is the age at which a report has no weight left. Reports come
+	// reportTTL is the age at which a report has no weight left. Reports come
 	// every few seconds; after three or four lost ones an entry knows no more
 	// than its own attempts.
-	reportLife = 15 * time.Second
-	// crashLife bounds how long a crash is believed without a newer report.
-	crashLife = 30 * time.Second
+	reportTTL = 15 * time.Second
+	// crashTTL bounds how long a crash is believed without a newer report.
+	crashTTL = 30 * time.Second
 	// fullLoad and fullLife say when an endpoint is spared a request that its
 	// sidecar would refuse: its queue exceeds a quarter of its slots, and the
 	// account of it is no older than a place takes to come free.
 	fullLoad = 1.25
-	fullLife = 20 * time.Millisecond
+	fullTTL  = 20 * time.Millisecond
 	// unknownSlots stands for the slots of an endpoint that never reported.
 	unknownSlots = 16
-	// lostLife is how long a lost endpoint keeps its place on the ring, so
+	// lostTTL is how long a lost endpoint keeps its place on the ring, so
 	// that the work which mapped to it counts as displaced. It covers the time
 	// in which callers send a request again.
-	lostLife = 10 * time.Minute
+	lostTTL = 10 * time.Minute
 	// rebuildAfter bounds how often changed residency rebuilds the rings.
 	rebuildAfter = 5 * time.Second
 	// defaultSpread is the number of second candidates of one prefix. A prefix
@@ -38,31 +38,31 @@
 	// the 20 s after a cold start of 8 endpoints 97% of the answers were in
 	// time with 200, 90% with 1,000.
 	overflowShare = 200
-	// homeBias is the load by which the first candidate of a prefix may exceed
+	// affinityBias is the load by which the first candidate of a prefix may exceed
 	// the second before work moves. Engines with 64 slots run at about a third
 	// of them: with a bias of 16 slots and a ramp of 32 the load hardly counted.
-	homeBias = 0.1
-	// ramp is the difference of loads over which the share of the second
+	affinityBias = 0.1
+	// loadRamp is the difference of loads over which the share of the second
 	// candidate grows from none to all. Entries that share one old report move
 	// a part of their work each instead of all at once.
-	ramp = 0.2
-	// otherZone is the load that a hop to another availability zone is worth.
-	otherZone = 0.1
+	loadRamp = 0.2
+	// crossZoneCost is the load that a hop to another availability zone is worth.
+	crossZoneCost = 0.1
 )
 
 // Router is a carawayspread.Router that gives each fingerprint at most two
 // endpoints and lets load decide between them.
 type Router struct {
-	clock  carawayspread.Clock
-	zone   string
-	spread uint64
-	seed   uint64
-	draws  atomic.Uint64
-	heat   heat
-	budget budget
-	now    atomic.Pointer[snapshot]
-	mu     sync.Mutex  // serialises those who replace the snapshot
-	stale  atomic.Bool // residency changed since the snapshot was built
+	clock     carawayspread.Clock
+	zone      string
+	spread    uint64
+	seed      uint64
+	drawCount atomic.Uint64
+	heat      heat
+	budget    budget
+	current   atomic.Pointer[snapshot]
+	mu        sync.Mutex  // serialises those who replace the snapshot
+	stale     atomic.Bool // residency changed since the snapshot was built
 }
 
 // Option sets an optional part of a Router.
@@ -82,7 +82,7 @@
 	for _, opt := range opts {
 		opt(r)
 	}
-	r.now.Store(newSnapshot(map[carawayspread.EndpointID]*member{}, r.clock.Now()))
+	r.current.Store(newSnapshot(map[carawayspread.EndpointID]*member{}, r.clock.Now()))
 	return r
 }
 
@@ -93,18 +93,18 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
-	next := r.now.Load().next(endpoints, now)
+	next := r.current.Load().next(endpoints, now)
 	if next == nil {
 		return
 	}
 	r.stale.Store(false)
-	r.now.Store(newSnapshot(next, now))
+	r.current.Store(newSnapshot(next, now))
 }
 
 // Reported takes a report of a known endpoint.
 func (r *Router) Reported(report carawayspread.Report) {
-	m, ok := r.now.Load().byID[report.Endpoint]
-	if ok && m.hear(report) {
+	m, ok := r.current.Load().byID[report.Endpoint]
+	if ok && m.update(report) {
 		r.stale.Store(true)
 	}
 	r.refresh()
@@ -113,56 +113,56 @@
 // refresh rebuilds the rings after models moved, at most once in rebuildAfter.
 func (r *Router) refresh() {
 	now := r.clock.Now()
-	if !r.stale.Load() || now.Sub(r.now.Load().built) < rebuildAfter {
+	if !r.stale.Load() || now.Sub(r.current.Load().built) < rebuildAfter {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.stale.Swap(false) {
-		r.now.Store(newSnapshot(r.now.Load().byID, now))
+		r.current.Store(newSnapshot(r.current.Load().byID, now))
 	}
 }
 
 // Pick chooses between the two candidates of the job, and looks further only
 // when both are unavailable.
 func (r *Router) Pick(job *carawayspread.Job, standing func(carawayspread.EndpointID) carawayspread.Standing) carawayspread.Choice {
-	s := r.now.Load()
+	s := r.current.Load()
 	if s.listed == 0 {
 		return carawayspread.Choice{}
 	}
 	p := pick{snapshot: s, job: job, standing: standing, now: r.clock.Now()}
-	near, far := s.pools(job)
-	home, other := near.rings(job.Model), far.rings(job.Model)
-	first, second := r.candidates(home.current, other.current, job)
-	a, b := p.ask(first), p.ask(second)
+	firstPool, secondPool := s.pools(job)
+	firstRings, secondRings := firstPool.rings(job.Model), secondPool.rings(job.Model)
+	first, second := r.candidates(firstRings.current, secondRings.current, job)
+	a, b := p.check(first), p.check(second)
 	chosen := first
 	switch {
 	case a == carawayspread.StandingFree && b == carawayspread.StandingFree:
-		chosen = r.lighter(&p, first, second)
+		chosen = r.lessLoaded(&p, first, second)
 	case a == carawayspread.StandingFree:
 	case b == carawayspread.StandingFree && (a == carawayspread.StandingOut || r.overflows(&p)):
 		chosen = second
 	case a == carawayspread.StandingBusy || b == carawayspread.StandingBusy:
 		return carawayspread.Choice{Wait: true}
 	default:
-		return p.displaced(home.current, s.any.all.current)
+		return p.displaced(firstRings.current, s.all.anyModel.current)
 	}
-	return carawayspread.Choice{Endpoint: chosen.id, Displaced: r.replaced(&p, home, other, chosen)}
+	return carawayspread.Choice{Endpoint: chosen.id, Displaced: r.replacesFailed(&p, firstRings, secondRings, chosen)}
 }
 
-// replaced reports whether the chosen endpoint took the place of a candidate
+// replacesFailed reports whether the chosen endpoint took the place of a candidate
 // that was lost or crashed lately. A newcomer changes the candidates of some
 // fingerprints; without this a harmful request that brought down its own two
 // would get the newcomer as a third.
-func (r *Router) replaced(p *pick, home, other rings, chosen *endpoint) bool {
-	if home.settled == home.current && other.settled == other.current {
+func (r *Router) replacesFailed(p *pick, firstRings, secondRings rings, chosen *endpoint) bool {
+	if firstRings.established == firstRings.current && secondRings.established == secondRings.current {
 		return false
 	}
-	first, second := r.candidates(home.settled, other.settled, p.job)
+	first, second := r.candidates(firstRings.established, secondRings.established, p.job)
 	if chosen == first || chosen == second {
 		return false
 	}
-	return p.troubled(first) || p.troubled(second)
+	return p.recentlyFailed(first) || p.recentlyFailed(second)
 }
 
 // overflows reports whether the job may leave its first candidate because of
@@ -172,7 +172,7 @@
 // always overflow, since it is soon cached everywhere, and so may an unknown
 // one, since it is cached nowhere.
 func (r *Router) overflows(p *pick) bool {
-	if p.job.Prefix == 0 || !r.heat.known(p.job.Prefix) || r.heat.hot(p.job.Prefix, p.snapshot.listed) {
+	if p.job.Prefix == 0 || !r.heat.seen(p.job.Prefix) || r.heat.hot(p.job.Prefix, p.snapshot.listed) {
 		return true
 	}
 	return r.budget.spend()
@@ -182,21 +182,21 @@
 // first follows from the prefix, so that its cache is found again. The second
 // also follows from the body: a hot prefix overflows onto many endpoints, and
 // still each of its requests has one second candidate.
-func (r *Router) candidates(home, other *ring, job *carawayspread.Job) (first, second *endpoint) {
+func (r *Router) candidates(firstRing, secondRing *ring, job *carawayspread.Job) (first, second *endpoint) {
 	if job.Prefix == 0 {
-		first = home.after(mix(job.Fingerprint, 0))
-		return first, other.after(mix(job.Fingerprint, 1), first)
+		first = firstRing.successor(mix(job.Fingerprint, 0))
+		return first, secondRing.successor(mix(job.Fingerprint, 1), first)
 	}
-	first = home.after(mix(job.Prefix, 0))
-	return first, other.after(mix(job.Prefix, 1+job.Fingerprint%r.spread), first)
+	first = firstRing.successor(mix(job.Prefix, 0))
+	return first, secondRing.successor(mix(job.Prefix, 1+job.Fingerprint%r.spread), first)
 }
 
-// lighter chooses between two available candidates.
-func (r *Router) lighter(p *pick, first, second *endpoint) *endpoint {
+// lessLoaded chooses between two available candidates.
+func (r *Router) lessLoaded(p *pick, first, second *endpoint) *endpoint {
 	difference := p.cost(r.zone, first) - p.cost(r.zone, second)
-	toSecond := difference/ramp + 0.5
+	toSecond := difference/loadRamp + 0.5
 	if p.job.Prefix != 0 {
-		toSecond = (difference - homeBias) / ramp
+		toSecond = (difference - affinityBias) / loadRamp
 	}
 	if r.draw() < toSecond && r.overflows(p) {
 		return second
@@ -207,7 +207,7 @@
 // draw returns a number in [0, 1) without a lock.
 func (r *Router) draw() float64 {
 	const bits = 53
-	return float64(mix(r.seed, r.draws.Add(1))>>(64-bits)) / (1 << bits)
+	return float64(mix(r.seed, r.drawCount.Add(1))>>(64-bits)) / (1 << bits)
 }
 
 // Sent counts an attempt of this entry.
@@ -225,7 +225,7 @@
 }
 
 func (r *Router) count(id carawayspread.EndpointID, by int64) {
-	if m, ok := r.now.Load().byID[id]; ok {
-		m.own.Add(by)
+	if m, ok := r.current.Load().byID[id]; ok {
+		m.inFlight.Add(by)
 	}
 }
--- a/internal/decision/hashrouter/router_test.go
+++ b/internal/decision/hashrouter/router_test.go
@@ -15,18 +15,18 @@
 func newTestRouter(seed uint64, ids ...carawayspread.EndpointID) (*Router, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	r := New(carawayspread.Environment{Clock: clock, Rand: rand.New(rand.NewPCG(seed, 1)), Zone: "a"})
-	r.SetEndpoints(list(ids...))
+	r.SetEndpoints(newEndpoints(ids...))
 	return r, clock
 }
 
-func list(ids ...carawayspread.EndpointID) (listed []carawayspread.Endpoint) {
+func newEndpoints(ids ...carawayspread.EndpointID) (listed []carawayspread.Endpoint) {
 	for _, id := range ids {
 		listed = append(listed, carawayspread.NewEndpoint(id, "llm", "a", "", false))
 	}
 	return listed
 }
 
-func without(out ...carawayspread.EndpointID) func(carawayspread.EndpointID) carawayspread.Standing {
+func freeExcept(out ...carawayspread.EndpointID) func(carawayspread.EndpointID) carawayspread.Standing {
 	return func(id carawayspread.EndpointID) carawayspread.Standing {
 		for _, o := range out {
 			if id == o {
@@ -49,7 +49,7 @@
 			clock.Advance(rebuildAfter)
 			r.Reported(carawayspread.Report{Endpoint: "e1", Taken: clock.Now(), Slots: 8, Models: []string{"m"}, Crashed: true})
 			for n := range uint64(100) {
-				choice := r.Pick(&carawayspread.Job{Model: "m", Prefix: n, Fingerprint: n}, without("e1"))
+				choice := r.Pick(&carawayspread.Job{Model: "m", Prefix: n, Fingerprint: n}, freeExcept("e1"))
 				qt.Assert(t, choice.Endpoint, qt.Equals, carawayspread.EndpointID("e2"))
 			}
 		})
@@ -77,7 +77,7 @@
 		reached := map[carawayspread.EndpointID]bool{}
 		for range 20 {
 			for _, r := range routers {
-				choice := r.Pick(&carawayspread.Job{Prefix: fingerprint % 7, Fingerprint: fingerprint}, without())
+				choice := r.Pick(&carawayspread.Job{Prefix: fingerprint % 7, Fingerprint: fingerprint}, freeExcept())
 				qt.Assert(t, choice.Displaced, qt.IsFalse)
 				reached[choice.Endpoint] = true
 			}
--- a/internal/decision/hashrouter/snapshot.go
+++ b/internal/decision/hashrouter/snapshot.go
@@ -15,15 +15,15 @@
 	joined  time.Time // when it was first listed; zero for those listed at first
 }
 
-func (m *member) newcomer(now time.Time) bool {
-	return !m.joined.IsZero() && now.Sub(m.joined) < lostLife
+func (m *member) isNew(now time.Time) bool {
+	return !m.joined.IsZero() && now.Sub(m.joined) < lostTTL
 }
 
 // rings are the two views of one set of members. They are the same ring while
 // there are no newcomers.
 type rings struct {
-	current *ring // every member, the lost ones included
-	settled *ring // the same without newcomers
+	current     *ring // every member, the lost ones included
+	established *ring // the same without newcomers
 }
 
 // snapshot is what Pick reads. It is immutable.
@@ -32,8 +32,8 @@
 	listed int // members that are not lost
 	// pools hold the members by what their roles let them take. Those whose
 	// role is not known take everything.
-	whole, prompts, answers, any *pool
-	built                        time.Time
+	combined, prefill, decode, all *pool
+	built                          time.Time
 }
 
 func newSnapshot(byID map[carawayspread.EndpointID]*member, now time.Time) *snapshot {
@@ -47,31 +47,31 @@
 		}
 		byRole[m.role()] = append(byRole[m.role()], m)
 	}
-	s.any = newPool(all, now)
-	s.whole, s.prompts, s.answers = s.any, s.any, s.any
+	s.all = newPool(all, now)
+	s.combined, s.prefill, s.decode = s.all, s.all, s.all
 	if len(byRole[carawayspread.RoleBoth]) < len(all) {
 		both := byRole[carawayspread.RoleBoth]
-		s.whole = newPool(both, now)
-		s.prompts = newPool(byRole[carawayspread.RolePrefill], now)
-		s.answers = newPool(append(byRole[carawayspread.RoleDecode], both...), now)
+		s.combined = newPool(both, now)
+		s.prefill = newPool(byRole[carawayspread.RolePrefill], now)
+		s.decode = newPool(append(byRole[carawayspread.RoleDecode], both...), now)
 	}
 	return s
 }
 
-// long is the prompt from which on prefilling stalls the answers of an engine
+// longPrompt is the prompt from which on prefilling stalls the answers of an engine
 // for more than one step.
-const long = 2048
+const longPrompt = 2048
 
 // pools returns where the first and the second candidate of a job come from.
 // Long prompts go to engines that only prefill, while those are not loaded more
 // than one that decodes as well; short ones would wait behind them there.
 func (s *snapshot) pools(job *carawayspread.Job) (first, second *pool) {
-	first, second = s.whole, s.whole
+	first, second = s.combined, s.combined
 	switch {
 	case job.Phase == carawayspread.RoleDecode:
-		first, second = s.answers, s.answers
-	case job.Phase == carawayspread.RolePrefill && job.Cost.Prefill >= long:
-		first = s.prompts
+		first, second = s.decode, s.decode
+	case job.Phase == carawayspread.RolePrefill && job.Cost.Prefill >= longPrompt:
+		first = s.prefill
 	}
 	if first.size == 0 {
 		first = second
@@ -80,15 +80,15 @@
 		second = first
 	}
 	if first.size == 0 {
-		return s.any, s.any
+		return s.all, s.all
 	}
 	return first, second
 }
 
 // pool is a set of members with its rings. It is immutable.
 type pool struct {
-	size int
-	all  rings
+	size     int
+	anyModel rings
 	// byModel holds the rings of each model that reports name, with the members
 	// whose models are not known: after a start the first report would else
 	// draw all work to one endpoint. A model that no report names is sought on
@@ -110,7 +110,7 @@
 			holders[model] = append(holders[model], m)
 		}
 	}
-	p.all = newRings(members, now)
+	p.anyModel = newRings(members, now)
 	for model, holding := range holders {
 		p.byModel[model] = newRings(append(holding, unknown...), now)
 	}
@@ -118,17 +118,17 @@
 }
 
 func newRings(members []*member, now time.Time) rings {
-	var current, settled []*endpoint
+	var current, established []*endpoint
 	for _, m := range members {
 		current = append(current, m.endpoint)
-		if !m.newcomer(now) {
-			settled = append(settled, m.endpoint)
+		if !m.isNew(now) {
+			established = append(established, m.endpoint)
 		}
 	}
 	r := rings{current: newRing(current)}
-	r.settled = r.current
-	if len(settled) < len(current) {
-		r.settled = newRing(settled)
+	r.established = r.current
+	if len(established) < len(current) {
+		r.established = newRing(established)
 	}
 	return r
 }
@@ -137,7 +137,7 @@
 	if r, ok := p.byModel[model]; ok {
 		return r
 	}
-	return p.all
+	return p.anyModel
 }
 
 // next returns the members after the list was read, or nil when nothing
@@ -147,7 +147,7 @@
 	changed := false
 	for _, l := range listed {
 		m, known := s.byID[l.ID()]
-		if !known || !m.lost.IsZero() || m.zone != l.Zone() || m.leaving != l.Leaving() || s.matured(m, now) {
+		if !known || !m.lost.IsZero() || m.zone != l.Zone() || m.leaving != l.Leaving() || s.becameEstablished(m, now) {
 			m, changed = s.listedMember(l, now), true
 		}
 		next[l.ID()] = m
@@ -156,11 +156,11 @@
 		if _, ok := next[id]; ok {
 			continue
 		}
-		if m.lost.IsZero() || now.Sub(m.lost) >= lostLife {
+		if m.lost.IsZero() || now.Sub(m.lost) >= lostTTL {
 			changed = true
 		}
-		if m.lost.IsZero() || now.Sub(m.lost) < lostLife {
-			next[id] = lose(m, now)
+		if m.lost.IsZero() || now.Sub(m.lost) < lostTTL {
+			next[id] = markLost(m, now)
 		}
 	}
 	if !changed {
@@ -169,9 +169,9 @@
 	return next
 }
 
-// matured reports whether a newcomer of this snapshot is none any more.
-func (s *snapshot) matured(m *member, now time.Time) bool {
-	return m.newcomer(s.built) && !m.newcomer(now)
+// becameEstablished reports whether a newcomer of this snapshot is none any more.
+func (s *snapshot) becameEstablished(m *member, now time.Time) bool {
+	return m.isNew(s.built) && !m.isNew(now)
 }
 
 func (s *snapshot) listedMember(l carawayspread.Endpoint, now time.Time) *member {
@@ -184,7 +184,7 @@
 	return m
 }
 
-func lose(m *member, now time.Time) *member {
+func markLost(m *member, now time.Time) *member {
 	if !m.lost.IsZero() {
 		return m
 	}
--- a/internal/decision/inflight/window.go
+++ b/internal/decision/inflight/window.go
@@ -48,10 +48,10 @@
 	}
 	scale := 1.0
 	if w.slots > 0 && w.size > 0 {
-		scale = w.size / w.part()
+		scale = w.size / w.fairShare()
 	}
 	w.slots, w.entries = slots, entries
-	w.set(scale * w.part())
+	w.set(scale * w.fairShare())
 }
 
 // Served tells that an answer came while so many requests were running.
@@ -77,11 +77,11 @@
 	return int(w.size)
 }
 
-// part is the equal part of an entry.
-func (w *Window) part() float64 {
+// fairShare is the equal fairShare of an entry.
+func (w *Window) fairShare() float64 {
 	return max(1, headroom*float64(w.slots)/float64(max(1, w.entries)))
 }
 
 func (w *Window) set(size float64) {
-	w.size = min(max(w.part(), size), max(1, headroom*float64(w.slots)))
+	w.size = min(max(w.fairShare(), size), max(1, headroom*float64(w.slots)))
 }
--- a/internal/decision/leastoutstanding/router.go
+++ b/internal/decision/leastoutstanding/router.go
@@ -12,10 +12,10 @@
 // Router is a carawayspread.Router that takes the endpoint with the fewest
 // requests.
 type Router struct {
-	mu        sync.Mutex
-	endpoints []carawayspread.Endpoint
-	reported  map[carawayspread.EndpointID]carawayspread.Report
-	since     map[carawayspread.EndpointID]int // own attempts started less ended since the report
+	mu          sync.Mutex
+	endpoints   []carawayspread.Endpoint
+	reported    map[carawayspread.EndpointID]carawayspread.Report
+	sinceReport map[carawayspread.EndpointID]int // own attempts started less ended since the report
 }
 
 var _ = carawayspread.Routers.Register("leastOutstanding", func(carawayspread.Environment) carawayspread.Router {
@@ -25,8 +25,8 @@
 // New returns a router without endpoints.
 func New() *Router {
 	return &Router{
-		reported: map[carawayspread.EndpointID]carawayspread.Report{},
-		since:    map[carawayspread.EndpointID]int{},
+		reported:    map[carawayspread.EndpointID]carawayspread.Report{},
+		sinceReport: map[carawayspread.EndpointID]int{},
 	}
 }
 
@@ -42,7 +42,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reported[report.Endpoint] = report
-	r.since[report.Endpoint] = 0
+	r.sinceReport[report.Endpoint] = 0
 }
 
 // Pick returns the free endpoint with the fewest requests.
@@ -59,7 +59,7 @@
 		case carawayspread.StandingBusy:
 			choice.Wait = true
 		case carawayspread.StandingFree:
-			outstanding := report.Running + report.Waiting + r.since[endpoint.ID()]
+			outstanding := report.Running + report.Waiting + r.sinceReport[endpoint.ID()]
 			if choice.Endpoint == "" || outstanding < least {
 				choice.Endpoint, least = endpoint.ID(), outstanding
 			}
@@ -80,5 +80,5 @@
 func (r *Router) count(id carawayspread.EndpointID, by int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.since[id] += by
+	r.sinceReport[id] += by
 }
--- a/internal/decision/plainplacement/placer.go
+++ b/internal/decision/plainplacement/placer.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	// boundTokens is the bound on prompt tokens of one process at one reader.
-	boundTokens = 15000
-	// comeBack is when a refused caller may try again.
-	comeBack = time.Second
+	// maxPromptTokens is the bound on prompt tokens of one process at one reader.
+	maxPromptTokens = 15000
+	// retryDelay is when a refused caller may try again.
+	retryDelay = time.Second
 )
 
 // Placer is a carawayspread.Placer by one simple rule.
 type Placer struct {
-	pick func(p *Placer, open []carawayspread.Endpoint, req carawayspread.Placing) (carawayspread.Endpoint, bool)
+	pick func(p *Placer, candidates []carawayspread.Endpoint, req carawayspread.Placing) (carawayspread.Endpoint, bool)
 
-	mu     sync.Mutex
-	known  map[string][]carawayspread.Endpoint
-	count  map[carawayspread.EndpointID]int
-	tokens map[carawayspread.EndpointID]int
-	turn   int
+	mu        sync.Mutex
+	endpoints map[string][]carawayspread.Endpoint
+	count     map[carawayspread.EndpointID]int
+	tokens    map[carawayspread.EndpointID]int
+	turn      int
 }
 
 func register(name string, pick func(*Placer, []carawayspread.Endpoint, carawayspread.Placing) (carawayspread.Endpoint, bool)) func(carawayspread.Environment) carawayspread.Placer {
 	return carawayspread.Placers.Register(name, func(carawayspread.Environment) carawayspread.Placer {
 		return &Placer{
-			pick: pick, known: map[string][]carawayspread.Endpoint{},
+			pick: pick, endpoints: map[string][]carawayspread.Endpoint{},
 			count: map[carawayspread.EndpointID]int{}, tokens: map[carawayspread.EndpointID]int{},
 		}
 	})
@@ -48,14 +48,14 @@
 	_ = register("boundedHome", boundedHome)
 )
 
-func roundRobin(p *Placer, open []carawayspread.Endpoint, _ carawayspread.Placing) (carawayspread.Endpoint, bool) {
+func roundRobin(p *Placer, candidates []carawayspread.Endpoint, _ carawayspread.Placing) (carawayspread.Endpoint, bool) {
 	p.turn++
-	return open[p.turn%len(open)], true
+	return candidates[p.turn%len(candidates)], true
 }
 
-func leastOutstanding(p *Placer, open []carawayspread.Endpoint, _ carawayspread.Placing) (carawayspread.Endpoint, bool) {
-	best := open[0]
-	for _, e := range open[1:] {
+func leastOutstanding(p *Placer, candidates []carawayspread.Endpoint, _ carawayspread.Placing) (carawayspread.Endpoint, bool) {
+	best := candidates[0]
+	for _, e := range candidates[1:] {
 		if p.count[e.ID()] < p.count[best.ID()] {
 			best = e
 		}
@@ -64,27 +64,27 @@
 }
 
 // fixedHome sends each shared beginning to one reader, by rendezvous hashing.
-func fixedHome(p *Placer, open []carawayspread.Endpoint, req carawayspread.Placing) (carawayspread.Endpoint, bool) {
+func fixedHome(p *Placer, candidates []carawayspread.Endpoint, req carawayspread.Placing) (carawayspread.Endpoint, bool) {
 	if req.Prompt == nil || len(req.Prompt.Parts) < 2 || req.Handed != "" {
-		return leastOutstanding(p, open, req)
+		return leastOutstanding(p, candidates, req)
 	}
 	chains := req.Prompt.Chains()
 	shared := chains[len(chains)-2]
 	var best carawayspread.Endpoint
-	var most uint64
-	for _, e := range open {
+	var bestScore uint64
+	for _, e := range candidates {
 		h := fnv.New64a()
 		_, _ = h.Write([]byte(e.ID()))
-		if score := (h.Sum64() ^ shared) * 0x9e3779b97f4a7c15; score >= most {
-			best, most = e, score
+		if score := (h.Sum64() ^ shared) * 0x9e3779b97f4a7c15; score >= bestScore {
+			best, bestScore = e, score
 		}
 	}
 	return best, true
 }
 
-func boundedHome(p *Placer, open []carawayspread.Endpoint, req carawayspread.Placing) (carawayspread.Endpoint, bool) {
-	home, ok := fixedHome(p, open, req)
-	if req.Prompt != nil && req.Handed == "" && p.tokens[home.ID()] > boundTokens {
+func boundedHome(p *Placer, candidates []carawayspread.Endpoint, req carawayspread.Placing) (carawayspread.Endpoint, bool) {
+	home, ok := fixedHome(p, candidates, req)
+	if req.Prompt != nil && req.Handed == "" && p.tokens[home.ID()] > maxPromptTokens {
 		return home, false
 	}
 	return home, ok
@@ -96,19 +96,19 @@
 	defer p.mu.Unlock()
 	ordered := append([]carawayspread.Endpoint(nil), endpoints...)
 	sort.Slice(ordered, func(i, j int) bool { return ordered[i].ID() < ordered[j].ID() })
-	p.known[service] = ordered
+	p.endpoints[service] = ordered
 }
 
 // Place chooses by the rule.
 func (p *Placer) Place(req carawayspread.Placing) (carawayspread.Placement, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var readers, others []carawayspread.Endpoint
-	for _, e := range p.known[req.Service.Name] {
+	var prefillers, others []carawayspread.Endpoint
+	for _, e := range p.endpoints[req.Service.Name] {
 		switch {
 		case e.Leaving() || req.Exclude[e.ID()]:
 		case e.Role() == carawayspread.RolePrefill:
-			readers = append(readers, e)
+			prefillers = append(prefillers, e)
 		default:
 			others = append(others, e)
 		}
@@ -116,15 +116,15 @@
 	if len(others) == 0 {
 		return carawayspread.Placement{}, refuse()
 	}
-	open, reads := others, false
-	if req.Prompt != nil && req.Handed == "" && !req.Direct && len(readers) > 0 {
-		open, reads = readers, true
+	candidates, reads := others, false
+	if req.Prompt != nil && req.Handed == "" && !req.Direct && len(prefillers) > 0 {
+		candidates, reads = prefillers, true
 	}
 	pick := p.pick
 	if req.Handed != "" {
 		pick = leastOutstanding
 	}
-	endpoint, ok := pick(p, open, req)
+	endpoint, ok := pick(p, candidates, req)
 	if !ok && !req.Owed {
 		return carawayspread.Placement{}, refuse()
 	}
@@ -133,7 +133,7 @@
 
 func refuse() *carawayspread.Error {
 	return carawayspread.NewError(carawayspread.CodeOverloaded, "no endpoint can take the request now",
-		carawayspread.NotRun(), carawayspread.RetryAfter(comeBack))
+		carawayspread.NotRun(), carawayspread.RetryAfter(retryDelay))
 }
 
 type stay struct {
--- a/internal/decision/quarantine/alive.go
+++ b/internal/decision/quarantine/alive.go
@@ -10,28 +10,28 @@
 	// aliveWithin is how soon after a break an answer shows that the endpoint
 	// never stopped. A restart takes seconds.
 	aliveWithin = time.Second
-	// maxWatched bounds the breaks that are remembered for it: a batch of a large
+	// maxRecentCrashes bounds the breaks that are remembered for it: a batch of a large
 	// engine.
-	maxWatched = 256
+	maxRecentCrashes = 256
 )
 
-// watched is a request whose endpoint may prove to be alive.
-type watched struct {
+// recentCrash is a request whose endpoint may prove to be alive.
+type recentCrash struct {
 	fingerprint uint64
 	at          time.Time
 }
 
-// watch remembers a crash for a while.
-func (q *Quarantine) watch(fingerprint uint64, crash Crash, now time.Time) {
-	for id, of := range q.recent {
-		if now.Sub(of[len(of)-1].at) > aliveWithin {
+// trackCrash remembers a crash for a while.
+func (q *Quarantine) trackCrash(fingerprint uint64, crash Crash, now time.Time) {
+	for id, crashes := range q.recent {
+		if now.Sub(crashes[len(crashes)-1].at) > aliveWithin {
 			delete(q.recent, id)
 		}
 	}
-	if of := q.recent[crash.Endpoint]; len(of) < maxWatched {
-		q.recent[crash.Endpoint] = append(of, watched{fingerprint, now})
+	if crashes := q.recent[crash.Endpoint]; len(crashes) < maxRecentCrashes {
+		q.recent[crash.Endpoint] = append(crashes, recentCrash{fingerprint, now})
 	}
-	q.watching.Store(int64(len(q.recent)))
+	q.recentEndpoints.Store(int64(len(q.recent)))
 }
 
 // Alive records that the endpoint has answered a request that was sent at that
@@ -42,7 +42,7 @@
 // What was sent after the break and answered before a restart could be over was
 // answered by the same process, so that nothing has crashed.
 func (q *Quarantine) Alive(endpoint carawayspread.EndpointID, sent time.Time) []uint64 {
-	if q.watching.Load() == 0 {
+	if q.recentEndpoints.Load() == 0 {
 		return nil
 	}
 	q.mu.Lock()
@@ -63,7 +63,7 @@
 	if q.recent[endpoint] = kept; len(kept) == 0 {
 		delete(q.recent, endpoint)
 	}
-	q.watching.Store(int64(len(q.recent)))
+	q.recentEndpoints.Store(int64(len(q.recent)))
 	return cleared
 }
 
@@ -86,10 +86,10 @@
 		}
 	}
 	if r.crashes = left; len(left) == 0 {
-		q.known.Remove(fingerprint)
+		q.records.Remove(fingerprint)
 		return
 	}
-	if len(left) < maxVictims {
-		r.convicted = time.Time{}
+	if len(left) < maxCrashedEndpoints {
+		r.quarantinedUntil = time.Time{}
 	}
 }
--- a/internal/decision/quarantine/alive_test.go
+++ b/internal/decision/quarantine/alive_test.go
@@ -13,7 +13,7 @@
 // Callers of a harmless request are refused for minutes: two endpoints break
 // off its answers and run on. An endpoint that answers what was sent after the
 // break, sooner than it could have started anew, has not crashed.
-func TestLivingEndpointClearsRequests(t *testing.T) {
+func TestAnsweringEndpointClearsRequests(t *testing.T) {
 	const fingerprint = 7
 	tests := map[string]struct {
 		answeredAfter time.Duration // from the second break to the answer
@@ -21,11 +21,11 @@
 		endpoint      carawayspread.EndpointID
 		refused       bool
 	}{
-		"sent and answered after the break":     {answeredAfter: 50 * time.Millisecond, sentAfter: 10 * time.Millisecond, endpoint: "b"},
-		"at the other endpoint":                 {answeredAfter: 50 * time.Millisecond, sentAfter: 10 * time.Millisecond, endpoint: "a"},
-		"sent before the break":                 {answeredAfter: 50 * time.Millisecond, sentAfter: -10 * time.Millisecond, endpoint: "b", refused: true},
-		"answered when a restart could be over": {answeredAfter: 1200 * time.Millisecond, sentAfter: 1100 * time.Millisecond, endpoint: "b", refused: true},
-		"another endpoint":                      {answeredAfter: 50 * time.Millisecond, sentAfter: 10 * time.Millisecond, endpoint: "c", refused: true},
+		"sent and answered after the failure":         {answeredAfter: 50 * time.Millisecond, sentAfter: 10 * time.Millisecond, endpoint: "b"},
+		"at the other endpoint":                       {answeredAfter: 50 * time.Millisecond, sentAfter: 10 * time.Millisecond, endpoint: "a"},
+		"sent before the failure":                     {answeredAfter: 50 * time.Millisecond, sentAfter: -10 * time.Millisecond, endpoint: "b", refused: true},
+		"answered when a restart could have finished": {answeredAfter: 1200 * time.Millisecond, sentAfter: 1100 * time.Millisecond, endpoint: "b", refused: true},
+		"another endpoint":                            {answeredAfter: 50 * time.Millisecond, sentAfter: 10 * time.Millisecond, endpoint: "c", refused: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -33,9 +33,9 @@
 			q := New(clock)
 			q.Crashed(Crash{Endpoint: "a", At: clock.Now()}, []uint64{fingerprint}, nil)
 			q.Crashed(Crash{Endpoint: "b", At: clock.Now()}, []uint64{fingerprint, 8}, nil)
-			broke := clock.Now()
+			crashedAt := clock.Now()
 			clock.Advance(test.answeredAfter)
-			cleared := q.Alive(test.endpoint, broke.Add(test.sentAfter))
+			cleared := q.Alive(test.endpoint, crashedAt.Add(test.sentAfter))
 			qt.Check(t, len(cleared) == 0, qt.Equals, test.refused)
 			verdict, _ := q.Decide(Attempt{Fingerprint: fingerprint})
 			qt.Check(t, verdict == VerdictRefuse, qt.Equals, test.refused)
@@ -68,17 +68,17 @@
 }
 
 // Memory stays bounded by the breaks of the last second.
-func TestWatchedBreaksAreForgotten(t *testing.T) {
+func TestRecentCrashesAreBounded(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
 	q := New(clock)
-	for i := range 5 * maxWatched {
+	for i := range 5 * maxRecentCrashes {
 		q.Crashed(Crash{Endpoint: "a", At: clock.Now()}, []uint64{uint64(i)}, nil)
 	}
-	qt.Check(t, len(q.recent["a"]), qt.Equals, maxWatched)
+	qt.Check(t, len(q.recent["a"]), qt.Equals, maxRecentCrashes)
 	clock.Advance(2 * aliveWithin)
 	q.Crashed(Crash{Endpoint: "b", At: clock.Now()}, []uint64{1}, nil)
 	qt.Check(t, q.recent, qt.HasLen, 1)
 	clock.Advance(2 * aliveWithin)
 	q.Alive("b", clock.Now())
-	qt.Check(t, q.watching.Load(), qt.Equals, int64(0))
+	qt.Check(t, q.recentEndpoints.Load(), qt.Equals, int64(0))
 }
--- a/internal/decision/quarantine/quarantine.go
+++ b/internal/decision/quarantine/quarantine.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// defaultTerm is how long a conviction and a suspicion last. It outlasts
+	// defaultDuration is how long a conviction and a suspicion last. It outlasts
 	// callers that send again, and ends by itself when a new version of the
 	// engine can run the request.
-	defaultTerm = 10 * time.Minute
-	// maxVictims is the number of endpoints that one request may crash.
-	maxVictims = 2
-	// sameCrash merges the accounts that sidecar and entry give of one crash.
+	defaultDuration = 10 * time.Minute
+	// maxCrashedEndpoints is the number of endpoints that one request may crash.
+	maxCrashedEndpoints = 2
+	// sameCrashWindow merges the accounts that sidecar and entry give of one crash.
 	// An engine takes longer than this to start again.
-	sameCrash = 10 * time.Second
-	// maxKnown bounds the memory at about 200 bytes a fingerprint. A crash adds
+	sameCrashWindow = 10 * time.Second
+	// maxRecords bounds the memory at about 200 bytes a fingerprint. A crash adds
 	// the requests of one batch.
-	maxKnown = 16384
+	maxRecords = 16384
 )
 
 // Crash is one crash of an endpoint.
@@ -32,7 +32,7 @@
 }
 
 func (c Crash) same(other Crash) bool {
-	return c.Endpoint == other.Endpoint && c.At.Sub(other.At).Abs() < sameCrash
+	return c.Endpoint == other.Endpoint && c.At.Sub(other.At).Abs() < sameCrashWindow
 }
 
 // Attempt is a request that is about to be sent or run.
@@ -56,38 +56,38 @@
 
 // record is what is known of one fingerprint.
 type record struct {
-	crashes   []Crash   // distinct, at most maxVictims
-	convicted time.Time // end of the conviction; zero for suspects
-	ends      time.Time // when it is forgotten
+	crashes          []Crash   // distinct, at most maxVictims
+	quarantinedUntil time.Time // end of the conviction; zero for suspects
+	expires          time.Time // when it is forgotten
 }
 
 // Quarantine is the memory that one process has of harmful requests. It is
 // safe for concurrent use.
 type Quarantine struct {
-	clock carawayspread.Clock
-	term  time.Duration
+	clock    carawayspread.Clock
+	duration time.Duration
 
-	mu     sync.Mutex
-	known  *lru.LRU[uint64, *record]
-	recent map[carawayspread.EndpointID][]watched // breaks of the last aliveWithin; none empty
-	doubts doubts
+	mu       sync.Mutex
+	records  *lru.LRU[uint64, *record]
+	recent   map[carawayspread.EndpointID][]recentCrash // breaks of the last aliveWithin; none empty
+	refusals refusals
 
-	watching atomic.Int64 // endpoints in recent
+	recentEndpoints atomic.Int64 // endpoints in recent
 }
 
 // Option sets an optional part of a Quarantine.
 type Option func(*Quarantine)
 
 // Term sets how long a conviction lasts.
-func Term(d time.Duration) Option { return func(q *Quarantine) { q.term = d } }
+func Term(d time.Duration) Option { return func(q *Quarantine) { q.duration = d } }
 
 // New returns a quarantine that suspects nobody.
 func New(clock carawayspread.Clock, opts ...Option) *Quarantine {
-	known, err := lru.NewLRU[uint64, *record](maxKnown, nil)
+	records, err := lru.NewLRU[uint64, *record](maxRecords, nil)
 	if err != nil {
 		panic(err) // the size is a constant
 	}
-	q := &Quarantine{clock: clock, term: defaultTerm, known: known, recent: map[carawayspread.EndpointID][]watched{}, doubts: newDoubts()}
+	q := &Quarantine{clock: clock, duration: defaultDuration, records: records, recent: map[carawayspread.EndpointID][]recentCrash{}, refusals: newRefusals()}
 	for _, opt := range opts {
 		opt(q)
 	}
@@ -103,8 +103,8 @@
 	now := q.clock.Now()
 	r := q.find(attempt.Fingerprint, now)
 	switch {
-	case r != nil && now.Before(r.convicted):
-		return VerdictRefuse, Refusal(r.convicted.Sub(now))
+	case r != nil && now.Before(r.quarantinedUntil):
+		return VerdictRefuse, Refusal(r.quarantinedUntil.Sub(now))
 	case attempt.Claimed && r != nil && r.crashed(attempt.Endpoint):
 		return VerdictTrial, nil
 	case attempt.Claimed:
@@ -132,10 +132,10 @@
 		isTrial := trial != nil && *trial == fingerprint
 		r := q.suspect(fingerprint, now)
 		r.add(crash)
-		q.watch(fingerprint, crash, now)
-		if isTrial || trial == nil && len(r.crashes) >= maxVictims {
-			r.convicted = now.Add(q.term)
-			q.doubts.own.Add(fingerprint, struct{}{})
+		q.trackCrash(fingerprint, crash, now)
+		if isTrial || trial == nil && len(r.crashes) >= maxCrashedEndpoints {
+			r.quarantinedUntil = now.Add(q.duration)
+			q.refusals.own.Add(fingerprint, struct{}{})
 		}
 	}
 }
@@ -146,8 +146,8 @@
 	defer q.mu.Unlock()
 	now := q.clock.Now()
 	r := q.suspect(fingerprint, now)
-	r.convicted = now.Add(left)
-	r.ends = later(r.ends, r.convicted)
+	r.quarantinedUntil = now.Add(left)
+	r.expires = later(r.expires, r.quarantinedUntil)
 }
 
 // Suspected records that the sidecar before the endpoint refused the request
@@ -183,30 +183,30 @@
 
 // Served clears a suspect that was answered, and reports whether a peer that refuses it
 // is to be told.
-func (q *Quarantine) Served(fingerprint uint64) (tell bool) {
+func (q *Quarantine) Served(fingerprint uint64) (notify bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	r := q.find(fingerprint, q.clock.Now())
-	if r != nil && r.convicted.IsZero() {
-		q.known.Remove(fingerprint)
+	if r != nil && r.quarantinedUntil.IsZero() {
+		q.records.Remove(fingerprint)
 	}
-	return q.doubted(fingerprint)
+	return q.takePeerRefusal(fingerprint)
 }
 
 // Len returns the number of fingerprints that are remembered.
 func (q *Quarantine) Len() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.known.Len()
+	return q.records.Len()
 }
 
 func (q *Quarantine) find(fingerprint uint64, now time.Time) *record {
-	r, ok := q.known.Get(fingerprint)
+	r, ok := q.records.Get(fingerprint)
 	if !ok {
 		return nil
 	}
-	if now.After(r.ends) {
-		q.known.Remove(fingerprint)
+	if now.After(r.expires) {
+		q.records.Remove(fingerprint)
 		return nil
 	}
 	return r
@@ -216,9 +216,9 @@
 	r := q.find(fingerprint, now)
 	if r == nil {
 		r = &record{}
-		q.known.Add(fingerprint, r)
+		q.records.Add(fingerprint, r)
 	}
-	r.ends = later(r.ends, now.Add(q.term))
+	r.expires = later(r.expires, now.Add(q.duration))
 	return r
 }
 
@@ -228,7 +228,7 @@
 			return
 		}
 	}
-	if len(r.crashes) < maxVictims {
+	if len(r.crashes) < maxCrashedEndpoints {
 		r.crashes = append(r.crashes, crash)
 	}
 }
--- a/internal/decision/quarantine/doubt.go
+++ b/internal/decision/quarantine/refusals.go
@@ -7,34 +7,34 @@
 )
 
 const (
-	// maxDoubts bounds the requests of which peers are asked, and those they ask of.
-	maxDoubts = 64
-	// doubtLife is how long a question of a peer counts; it is repeated while the peer
+	// maxRefusals bounds the requests of which peers are asked, and those they ask of.
+	maxRefusals = 64
+	// peerRefusalTTL is how long a question of a peer counts; it is repeated while the peer
 	// refuses the request.
-	doubtLife = 3 * time.Second
+	peerRefusalTTL = 3 * time.Second
 )
 
-// doubts are requests that are refused here, and those that peers refuse.
+// refusals are requests that are refused here, and those that peers refuse.
 //
 // Failure: a process meets two breaks of one request at two endpoints of which it hears
 // nothing more. Symptom: it refuses the request for the whole term, while peers that
 // know of no break answer it. What crashes endpoints is never answered, so that an
 // answer anywhere clears it.
-type doubts struct {
+type refusals struct {
 	own   *lru.LRU[uint64, struct{}]
 	peers *lru.LRU[uint64, time.Time] // when each was asked for last
 }
 
-func newDoubts() doubts {
-	own, err := lru.NewLRU[uint64, struct{}](maxDoubts, nil)
+func newRefusals() refusals {
+	own, err := lru.NewLRU[uint64, struct{}](maxRefusals, nil)
 	if err != nil {
 		panic(err) // the size is a constant
 	}
-	peers, err := lru.NewLRU[uint64, time.Time](maxDoubts, nil)
+	peers, err := lru.NewLRU[uint64, time.Time](maxRefusals, nil)
 	if err != nil {
 		panic(err)
 	}
-	return doubts{own: own, peers: peers}
+	return refusals{own: own, peers: peers}
 }
 
 // Doubts returns the newest requests that are refused here, of which peers may know an
@@ -44,11 +44,11 @@
 	defer q.mu.Unlock()
 	now := q.clock.Now()
 	var refused []uint64
-	for _, fingerprint := range q.doubts.own.Keys() {
-		if r := q.find(fingerprint, now); r != nil && now.Before(r.convicted) {
+	for _, fingerprint := range q.refusals.own.Keys() {
+		if r := q.find(fingerprint, now); r != nil && now.Before(r.quarantinedUntil) {
 			refused = append(refused, fingerprint)
 		} else {
-			q.doubts.own.Remove(fingerprint)
+			q.refusals.own.Remove(fingerprint)
 		}
 	}
 	return refused
@@ -60,23 +60,23 @@
 	defer q.mu.Unlock()
 	now := q.clock.Now()
 	for _, fingerprint := range refused {
-		q.doubts.peers.Add(fingerprint, now)
+		q.refusals.peers.Add(fingerprint, now)
 	}
 }
 
-// doubted reports whether a peer waits to hear of an answer, once for each question.
-func (q *Quarantine) doubted(fingerprint uint64) bool {
-	asked, ok := q.doubts.peers.Peek(fingerprint)
+// takePeerRefusal reports whether a peer waits to hear of an answer, once for each question.
+func (q *Quarantine) takePeerRefusal(fingerprint uint64) bool {
+	refusedAt, ok := q.refusals.peers.Peek(fingerprint)
 	if ok {
-		q.doubts.peers.Remove(fingerprint)
+		q.refusals.peers.Remove(fingerprint)
 	}
-	return ok && q.clock.Now().Sub(asked) < doubtLife
+	return ok && q.clock.Now().Sub(refusedAt) < peerRefusalTTL
 }
 
 // Cleared takes note that the request was answered elsewhere.
 func (q *Quarantine) Cleared(fingerprint uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.known.Remove(fingerprint)
-	q.doubts.own.Remove(fingerprint)
+	q.records.Remove(fingerprint)
+	q.refusals.own.Remove(fingerprint)
 }
