--- a/internal/decision/fairqueue/drain.go
+++ b/internal/decision/fairqueue/drain.go
@@ -7,31 +7,30 @@
 )
 
 const (
-	// minBackloggedTime is the backlogged time after which the measured drain rate
-	// replaces the number of slots.
+	// minBackloggedTime is the backlogged time after which the measured drain rate replaces the
+	// number of slots.
 	minBackloggedTime = 2 * time.Second
-	// minDrainRate keeps waits finite while no endpoint is known.
+	// minDrainRate keeps predicted waits finite while no endpoint is known.
 	minDrainRate = 0.1
-	// minDrainFraction bounds how far a measurement can fall below the slots, so
-	// that a stall of the fleet is forgotten once it ends.
+	// minDrainFraction bounds how far a measurement can fall below the number of slots, so that the
+	// scheduler recovers once a stall of the fleet ends.
 	minDrainFraction = 0.1
 
 	minRetryAfter = time.Second
-	// maxRetryAfter keeps refused callers coming back within the time in
-	// which the mix moves.
+	// maxRetryAfter makes refused callers retry within the time in which the request mix changes.
 	maxRetryAfter = 2 * time.Minute
-	// retryJitter is the relative width of the times that refused callers are told.
+	// retryJitter is the relative width of the random part of Retry-After.
 	retryJitter = 0.5
 )
 
-// drainMeter measures the work that leaves a backlog each second, and tells refused
-// callers when to come back.
+// drainMeter measures the work completed per second while jobs wait, and computes Retry-After for
+// refused callers.
 type drainMeter struct {
 	slots      int
-	completed  float64 // decayed work that ended while others waited
+	completed  float64 // decayed work that was completed while others waited
 	backlogged float64 // decayed seconds in which jobs waited
-	// deferred is the work of refused callers that was told to come back and
-	// for which there was no time yet; not negative.
+	// deferred is the work of refused callers that were told to retry and for which there has been
+	// no capacity yet; not negative. It decreases at the drain rate.
 	deferred float64
 	updated  time.Time
 }
@@ -57,7 +56,7 @@
 	}
 }
 
-// rate returns the work that leaves the queue each second.
+// rate returns the drain rate: seconds of slot work that leave the queue per second.
 func (d *drainMeter) rate() float64 {
 	slots := float64(d.slots)
 	if d.backlogged < minBackloggedTime.Seconds() {
@@ -67,10 +66,9 @@
 	return max(minDrainRate, slots*minDrainFraction, min(measured, slots))
 }
 
-// retryAfter returns when a refused caller may come back. Work that was
-// refused before it is counted as queued, since told the same moment all would
-// come back together and be refused again; the random part separates callers
-// that other processes refuse at the same time.
+// retryAfter returns after how long a refused caller may retry. Work refused before it counts as
+// queued: with the same time for everyone, all callers would retry together and be refused again.
+// The random part separates callers that other processes refuse at the same time.
 func (d *drainMeter) retryAfter(excess time.Duration, work float64, random *rand.Rand) time.Duration {
 	base := max(0, excess) + seconds(d.deferred/d.rate())
 	d.deferred = min(d.deferred+work, d.rate()*maxRetryAfter.Seconds())
--- a/internal/decision/fairqueue/flow.go
+++ b/internal/decision/fairqueue/flow.go
@@ -7,33 +7,33 @@
 	"carawayspread"
 )
 
-// item is one job with its place in the queue.
+// item is one job and its positions in the queues.
 type item struct {
 	job    *carawayspread.Job
 	flow   *flow
-	latest time.Time // the last moment at which it may be sent
-	work   float64   // seconds of a slot, as estimated when it was offered
-	bucket int       // its bucket of ahead
+	latest time.Time // latest time at which it may be sent
+	work   float64   // seconds of a slot, as estimated when the job was offered
+	bucket int       // its bucket in Scheduler.workByLatest
 
-	flowIndex   int           // place in flow.jobs, or -1
-	latestIndex int           // place in Scheduler.byLatest, or -1
-	arrival     *list.Element // place in flow.arrivals, nil when not queued there
-	parking     *list.Element // place in Scheduler.parked, nil when not there
+	flowIndex   int           // index in flow.jobs, or -1
+	latestIndex int           // index in Scheduler.byLatest, or -1
+	arrival     *list.Element // element of flow.arrivals; nil when not queued there
+	parking     *list.Element // element of Scheduler.parked; nil when not parked
 }
 
 // flow is the queue of one workspace.
 type flow struct {
 	workspace string
-	// tag is the virtual time at which its next job starts. It grows by the
-	// work that the workspace receives, and is raised to the virtual time of
-	// the scheduler, less its credit, when the workspace comes back.
+	// tag is the virtual time at which its next job starts. It grows by the work that the workspace
+	// receives. When the workspace becomes backlogged again, it is raised to the scheduler's
+	// virtual time less the credit.
 	tag      float64
-	queued   float64 // work in jobs; not negative
-	running  int     // jobs that Next returned and that did not come back
+	queued   float64 // work of the queued jobs; not negative
+	running  int     // jobs returned by Next and not yet passed to Done or Requeue
 	jobs     indexedHeap[*item]
 	arrivals list.List // the same jobs, oldest first
 
-	tagsIndex, eligibleIndex, ineligibleIndex, endsIndex int // places in the heaps of Scheduler, or -1
+	tagsIndex, eligibleIndex, ineligibleIndex, endsIndex int // indexes in the heaps of shares, or -1
 }
 
 func newFlow(workspace string) *flow {
@@ -68,5 +68,5 @@
 
 func (f *flow) newest() *item { return f.arrivals.Back().Value.(*item) }
 
-// end is the virtual time at which the last of its jobs would end.
+// end returns the virtual time at which the last of its queued jobs would end.
 func (f *flow) end() float64 { return f.tag + f.queued }
--- a/internal/decision/fairqueue/heap.go
+++ b/internal/decision/fairqueue/heap.go
@@ -2,12 +2,12 @@
 
 import "container/heap"
 
-// indexedHeap is a heap whose members know their places, so that any of them can
-// be moved or removed in logarithmic time.
+// indexedHeap is a heap whose members store their index, so that any of them can be moved or
+// removed in logarithmic time.
 type indexedHeap[T any] struct {
 	members []T
 	less    func(a, b T) bool
-	index   func(T) *int // where the member keeps its place; -1 outside
+	index   func(T) *int // where the member stores its index; -1 when not in the heap
 }
 
 func (o *indexedHeap[T]) Len() int           { return len(o.members) }
@@ -19,14 +19,14 @@
 	*o.index(o.members[j]) = j
 }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (o *indexedHeap[T]) Push(x any) {
 	member := x.(T)
 	*o.index(member) = len(o.members)
 	o.members = append(o.members, member)
 }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (o *indexedHeap[T]) Pop() any {
 	last := len(o.members) - 1
 	member := o.members[last]
@@ -39,7 +39,7 @@
 
 func (o *indexedHeap[T]) top() T { return o.members[0] }
 
-// put adds the member or moves it to where it now belongs.
+// put adds the member, or restores the order after the member changed.
 func (o *indexedHeap[T]) put(member T) {
 	if i := *o.index(member); i >= 0 {
 		heap.Fix(o, i)
--- a/internal/decision/fairqueue/histogram.go
+++ b/internal/decision/fairqueue/histogram.go
@@ -6,20 +6,20 @@
 	fineBuckets   = 64
 	coarseBuckets = 64
 	buckets       = fineBuckets * coarseBuckets
-	// bucketWidth resolves a target of one second into 30 steps and lets the
-	// ring look two minutes ahead; later work shares the last bucket.
+	// bucketWidth divides a target of one second into about 30 buckets and lets the ring cover two
+	// minutes; work that may be sent later than that shares the last bucket.
 	bucketWidth = 32 * time.Millisecond
 )
 
-// histogram sums the queued work by the moment at which it must be sent. Adding
-// and asking take constant time.
+// histogram sums the queued work by latest send time, in a ring of time buckets with two levels.
+// Adding and querying take constant time.
 type histogram struct {
 	epoch  time.Time
-	fine   [buckets]float64       // a ring over time; never below zero
-	coarse [coarseBuckets]float64 // the sums of fineBuckets neighbours each
+	fine   [buckets]float64       // ring of time buckets; never below zero
+	coarse [coarseBuckets]float64 // sums of fineBuckets neighbouring fine buckets each
 }
 
-// bucket returns where work that must be sent by then belongs.
+// bucket returns the index of the bucket for work that must be sent by latest.
 func (h *histogram) bucket(now, latest time.Time) int {
 	offset := int(latest.Sub(now) / bucketWidth)
 	return (h.firstBucket(now) + min(max(offset, 0), buckets-1)) % buckets
@@ -34,7 +34,7 @@
 	h.coarse[bucket/fineBuckets] = max(0, h.coarse[bucket/fineBuckets]+work)
 }
 
-// until returns the work that must be sent no later than that of the slot.
+// until returns the work whose latest send time is in the given bucket or an earlier one.
 func (h *histogram) until(now time.Time, bucket int) float64 {
 	at := h.firstBucket(now)
 	left := (bucket-at+buckets)%buckets + 1
--- a/internal/decision/fairqueue/rates.go
+++ b/internal/decision/fairqueue/rates.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// decayTime is how long a measurement counts: long enough to hold some
-	// hundred answers of a small fleet, short against the minutes in which
-	// the mix moves.
+	// decayTime is the time constant with which measurements decay: long enough to hold some
+	// hundred answers of a small fleet, short compared with the minutes in which the request mix
+	// changes.
 	decayTime = 30 * time.Second
-	// minAnswers answers must be counted before an estimate may refuse a job.
+	// minAnswers is the decayed number of answers below which an estimate refuses no job.
 	minAnswers = 8
-	// lateFraction is the share of jobs that may take longer than estimated. It
-	// follows the customary target of 95 in 100.
+	// lateFraction is the fraction of jobs that may take longer than estimated. It follows the
+	// customary target of 95 in 100.
 	lateFraction = 0.05
-	// marginStep moves the margin by a twentieth for each surprise, so that it
-	// settles within about a hundred answers.
+	// marginStep moves the margin by a twentieth for each job that exceeds its estimate, so that
+	// the margin settles within about a hundred answers.
 	marginStep = 0.05
 	maxMargin  = 4.0
-	// minWork is charged for any job, so that empty ones are not free.
+	// minWork is the least work charged for a job, so that empty jobs are not free.
 	minWork = 0.001
 )
 
-// ratio is a decayed sum of seconds over a decayed sum of units.
+// ratio is a decayed sum of seconds divided by a decayed sum of units.
 type ratio struct {
 	seconds float64
 	units   float64 // not negative
@@ -48,15 +48,15 @@
 	return r.seconds / r.units
 }
 
-// Priors count only until the first answers are measured, and only for shares:
-// a prior never refuses a job.
+// The priors are used only until the first answers are measured, and only for fair shares: a prior
+// never refuses a job.
 const (
-	priorPrefill = 0.0002 // seconds a prompt token, an engine at 5,000 a second
-	priorDecode  = 0.02   // seconds an output token, half of a 40 ms target
-	priorPlain   = 0.02   // seconds a call of a plain service
+	priorPrefill = 0.0002 // seconds per prompt token; an engine that prefills 5,000 tokens a second
+	priorDecode  = 0.02   // seconds per output token; half of a 40 ms inter-token latency target
+	priorPlain   = 0.02   // seconds per call of a plain service
 )
 
-// rates turns tokens into seconds of a slot, as measured.
+// rates converts tokens into seconds of a slot, as measured.
 type rates struct {
 	prefill     ratio
 	decode      ratio
@@ -71,9 +71,9 @@
 	return rates{firstMargin: 1, wholeMargin: 1, updated: now}
 }
 
-// margin is the factor on an estimate that all but lateShare of the jobs keep
-// within. Work is sent as late as its target allows when the queue is long; by
-// the mean alone half of it would be late.
+// margin is the factor on an estimate that all but lateFraction of the jobs stay within. When the
+// queue is long, work is sent as late as its target allows, so with the mean estimate alone half of
+// it would be late.
 type margin float64
 
 func (m *margin) update(measured, estimated float64) {
@@ -117,7 +117,7 @@
 
 func plain(cost carawayspread.Cost) bool { return cost.Prefill == 0 && cost.Decode == 0 }
 
-// work returns the seconds of a slot that the cost takes.
+// work returns the estimated seconds of a slot for the cost.
 func (r *rates) work(cost carawayspread.Cost) float64 {
 	if plain(cost) {
 		return max(minWork, r.plain.value(priorPlain))
@@ -130,8 +130,8 @@
 	return float64(cost.Prefill) * r.prefill.value(priorPrefill)
 }
 
-// latestSend returns the last moment at which the job may be sent to meet its
-// target and its caller's deadline.
+// latestSend returns the latest time at which the job may be sent to meet its target and its
+// caller's deadline.
 func (r *rates) latestSend(job *carawayspread.Job) time.Time {
 	var first, whole time.Duration
 	if r.answers >= minAnswers {
--- a/internal/decision/fairqueue/scheduler.go
+++ b/internal/decision/fairqueue/scheduler.go
@@ -9,39 +9,35 @@
 )
 
 const (
-	// maxQueueWait bounds the wait of a class whose target states no time to the
-	// first token or to the whole answer.
+	// maxQueueWait bounds the wait of a class whose target sets no limit for the first token or the
+	// whole answer.
 	maxQueueWait = 10 * time.Minute
-	// defaultMaxJobs bounds the memory of a queue: at about 300 bytes a job
-	// and 40 KB of body behind it, 4,096 jobs are what a thin instance holds.
+	// defaultMaxJobs bounds the memory of a queue: with about 300 bytes per job and its body of
+	// 40 KB, 4,096 jobs are what a small instance can hold.
 	defaultMaxJobs = 4096
-	// unparkBatch bounds the attempts at placing jobs again after each change.
-	// The others stay aside, so that jobs which wait for one busy endpoint do
-	// not hold those that can go elsewhere.
+	// unparkBatch bounds how many parked jobs are queued again after each change. The others stay
+	// parked, so that jobs waiting for one busy endpoint do not block those that can go to another.
 	unparkBatch = 4
-	// maxParkTime is how long a job that could not be placed waits at most for
-	// the next attempt: a place that another process freed is not seen here.
+	// maxParkTime is the longest time until a job that could not be placed is tried again: capacity
+	// freed by other processes is not visible here.
 	maxParkTime = 20 * time.Millisecond
-	// grace lets a job that found a free slot be sent although it is estimated
-	// to be late.
+	// grace lets a job that found a free slot be sent although it is estimated to be late.
 	grace = 50 * time.Millisecond
-	// waitSafetyFactor is the factor on a predicted wait. A wait varies round its
-	// prediction: at 1.2 times the capacity a factor of 1.5 left 6.8% of the
-	// jobs to be refused late, 2 leaves 3.8%, at the same goodput; 3 leaves 1%
-	// and costs half a per cent of goodput at capacity.
+	// waitSafetyFactor multiplies the predicted wait, since actual waits vary around it. At 1.2
+	// times the capacity, a factor of 1.5 left 6.8% of the jobs to be refused late and 2 leaves
+	// 3.8%, at the same goodput; 3 leaves 1% but costs half a per cent of goodput at capacity.
 	waitSafetyFactor = 2
-	// windowJobs is the window in mean jobs. Beside a caller at ten times its
-	// share, workspaces that used nine tenths of theirs got 97.0% of their
-	// answers in time with one job, 93.9% with four and 91.4% with eight.
+	// windowJobs is the window in mean jobs. Beside a caller at ten times its share, workspaces
+	// that used nine tenths of their share got 97.0% of their answers in time with one job, 93.9%
+	// with four and 91.4% with eight.
 	windowJobs = 1
-	// creditJobs is what a workspace may leave unused and still take later. It
-	// evens out bursts within a second or so; in the same load four jobs raised
-	// 97.0% to 98.5%.
+	// creditJobs is the unused share, in mean jobs, that a workspace may use later. It smooths
+	// bursts within about a second; under the same load, four jobs raised 97.0% to 98.5%.
 	creditJobs = 4
 )
 
-// Scheduler is a carawayspread.Scheduler that shares slots fairly between
-// workspaces and, within that, serves the most urgent job first.
+// Scheduler is a carawayspread.Scheduler that shares slots fairly between workspaces and, within
+// that, serves the most urgent job first.
 type Scheduler struct {
 	clock        carawayspread.Clock
 	random       *rand.Rand
@@ -52,12 +48,12 @@
 	rates        rates
 	drain        drainMeter
 	queued       float64 // work of all queued and parked jobs
-	meanWork     float64 // of one job, smoothed; zero before the first
+	meanWork     float64 // of one job, exponentially smoothed; zero before the first
 	items        map[*carawayspread.Job]*item
 	running      map[*carawayspread.Job]*item
-	parked       list.List               // of *item that could not be placed, the oldest first
-	unparkedAt   time.Time               // when the oldest of parked could not be placed
-	refused      []carawayspread.Refused // evicted jobs, until Expired is asked
+	parked       list.List               // of *item that could not be placed, oldest first
+	unparkedAt   time.Time               // when parked jobs were last queued again
+	refused      []carawayspread.Refused // evicted and expired jobs until the next call of Expired
 }
 
 // Option sets an optional part of a Scheduler.
@@ -70,7 +66,7 @@
 	return New(env)
 })
 
-// New returns an empty queue with one slot, which Capacity replaces.
+// New returns an empty queue with one slot; Capacity sets the actual number.
 func New(env carawayspread.Environment, opts ...Option) *Scheduler {
 	now := env.Clock.Now()
 	s := &Scheduler{
@@ -115,10 +111,9 @@
 	return nil
 }
 
-// admit returns the refusal of a job that cannot be served in time. A job that
-// finds a free slot and nobody waiting is always admitted: it harms nobody,
-// and its answer corrects an estimate that would otherwise refuse every job
-// and never be measured again.
+// admit returns an error when the job cannot be served in time. A job that finds a free slot and an
+// empty queue is always admitted: it delays no other job, and its answer corrects an estimate that
+// would otherwise refuse every job and never be measured again.
 func (s *Scheduler) admit(now time.Time, i *item) *carawayspread.Error {
 	idle := len(s.items) == 0 && len(s.running) < s.drain.slots
 	expired := !i.job.Deadline.IsZero() && i.job.Deadline.Before(now)
@@ -139,9 +134,9 @@
 	return nil
 }
 
-// wait predicts how long the job would wait. Two bounds hold, so the smaller
-// counts: what is at least as urgent goes first, and the workspace receives its
-// equal part after what it has queued itself.
+// wait predicts the queueing time of the job as the smaller of two upper bounds: the work that is
+// at least as urgent goes first, and the workspace receives its equal share after the work that it
+// has queued itself.
 func (s *Scheduler) wait(now time.Time, i *item) time.Duration {
 	urgent := s.workByLatest.until(now, i.bucket)
 	waiting := s.shares.backlogged()
@@ -153,8 +148,8 @@
 	return seconds(waitSafetyFactor * min(urgent, own) / s.drain.rate())
 }
 
-// makeRoom evicts the newest job of the workspace that asks for most beyond
-// its share, which may be the one that offers.
+// makeRoom evicts the newest job of the workspace whose queue extends furthest beyond its share. If
+// that is the workspace of the offered job, the offered job is refused instead.
 func (s *Scheduler) makeRoom(now time.Time, i *item) *carawayspread.Error {
 	over := seconds(s.queued / s.drain.rate())
 	if s.shares.backlogged() == 0 {
@@ -168,13 +163,13 @@
 	return nil
 }
 
-// refuse ends a queued or parked job.
+// refuse removes a queued or parked job and records its refusal.
 func (s *Scheduler) refuse(now time.Time, i *item, late time.Duration) {
 	s.dequeue(i)
 	s.refused = append(s.refused, carawayspread.Refused{Job: i.job, Err: s.refusal(now, i, late)})
 }
 
-// Next returns the job that is to be sent now.
+// Next returns the job to be sent now.
 func (s *Scheduler) Next() *carawayspread.Job {
 	now := s.tick()
 	s.expire(now)
@@ -195,7 +190,7 @@
 	return i.job
 }
 
-// Requeue puts back a job that could not be placed and returns its charge.
+// Requeue puts back a job that could not be placed and reverses its charge.
 func (s *Scheduler) Requeue(job *carawayspread.Job) {
 	now := s.tick()
 	i, ok := s.running[job]
@@ -212,7 +207,8 @@
 	}
 }
 
-// shrink makes room for a job that came back while others took its place.
+// shrink evicts a job when a requeued job exceeds the limit because others took its place
+// meanwhile.
 func (s *Scheduler) shrink(now time.Time) {
 	over := seconds(s.queued / s.drain.rate())
 	if s.shares.backlogged() > 0 {
@@ -222,7 +218,7 @@
 	s.refuse(now, s.parked.Back().Value.(*item), over)
 }
 
-// Done frees the slot of the job and replaces its estimate by what it took.
+// Done frees the slot of the job and replaces its estimated work by the measured work.
 func (s *Scheduler) Done(job *carawayspread.Job, served carawayspread.Served) {
 	now := s.tick()
 	i, ok := s.running[job]
@@ -239,9 +235,9 @@
 	s.unpark(now)
 }
 
-// Capacity sets the slots. Jobs that run beyond them end undisturbed. Only more
-// slots let parked jobs try again: a caller that lowers the capacity with every
-// job that it cannot place would get the same jobs for ever.
+// Capacity sets the number of slots. Running jobs beyond that number continue. Parked jobs are
+// queued again only when the number grows: a caller that lowers the capacity for every job that it
+// cannot place would otherwise receive the same jobs forever.
 func (s *Scheduler) Capacity(slots int) {
 	now := s.tick()
 	grew := slots > s.drain.slots
@@ -261,7 +257,7 @@
 	return ok
 }
 
-// Expired returns the jobs that got their final refusal since it was asked last.
+// Expired returns the jobs that were finally refused since the previous call.
 func (s *Scheduler) Expired() []carawayspread.Refused {
 	s.expire(s.tick())
 	refused := s.refused
@@ -295,7 +291,7 @@
 	s.queued += i.work
 }
 
-// dequeue removes a queued or parked job from every order.
+// dequeue removes a queued or parked job from all queues.
 func (s *Scheduler) dequeue(i *item) {
 	delete(s.items, i.job)
 	s.byLatest.remove(i)
@@ -309,7 +305,7 @@
 	i.parking = nil
 }
 
-// release takes a job out of the running ones and settles its charge.
+// release removes a job from the running ones and corrects its charge to work.
 func (s *Scheduler) release(i *item, work float64) {
 	delete(s.running, i.job)
 	i.flow.running--
--- a/internal/decision/fairqueue/scheduler_test.go
+++ b/internal/decision/fairqueue/scheduler_test.go
@@ -23,9 +23,9 @@
 	return &carawayspread.Job{Workspace: workspace, Class: class, Arrived: clock.Now(), Cost: carawayspread.Cost{Prefill: 1, Decode: decode}}
 }
 
-// Whatever happens in whatever order: a free slot is never refused to a job
-// that waits, the queue stays within its bound, no job waits beyond its
-// latest moment, and each offered job leaves in exactly one way.
+// Checks invariants under any order of calls: a free slot is never withheld from a waiting job, the
+// queue stays within its bound, no job waits beyond its latest send time, and each offered job
+// leaves in exactly one way.
 func TestSchedulerProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const maxJobs = 5
@@ -108,13 +108,13 @@
 	})
 }
 
-// Two workspaces wait all the time with jobs of any size and urgency. What one
-// gets ahead of the other stays within the window, the credit and two jobs.
+// Two workspaces are always backlogged with jobs of any size and urgency. Neither may receive more
+// than the other by more than the window, the credit and two jobs.
 func TestShareBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, clock := newTestScheduler()
 		const largest = 400
-		got, bound := map[string]float64{}, 0.0 // the bound moves with the mean job
+		got, bound := map[string]float64{}, 0.0 // the bound changes with the mean job
 		offer := func(workspace string) {
 			target := time.Duration(rapid.IntRange(1, 500).Draw(t, "target")) * time.Hour
 			if err := s.Offer(newJob(clock, workspace, target, rapid.IntRange(1, largest).Draw(t, "decode"))); err != nil {
@@ -145,8 +145,8 @@
 	})
 }
 
-// A class gets a tighter target: its job is sent no later than before, or
-// refused, and never because of it sent later.
+// With a tighter target for its class, a job must be sent no later than before, or be refused; a
+// tighter target must never delay it.
 func TestTighterTargetIsMonotone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		targets := rapid.SliceOfN(rapid.IntRange(10, 1000), 3, 12).Draw(t, "targets")
@@ -180,10 +180,9 @@
 	})
 }
 
-// Answers took so long that no target can be met by what was measured. A job
-// that finds a free slot is sent all the same: were it refused, nothing would
-// be measured again and every caller refused for ever. With the slot taken the
-// next one is refused at once.
+// The measured answers are so slow that no target can be met. A job that finds a free slot must
+// still be sent: if it were refused, nothing would be measured again and every caller would be
+// refused forever. With the slot taken, the next job is refused at once.
 func TestFreeSlotIsNeverRefused(t *testing.T) {
 	s, clock := newTestScheduler()
 	for range 2 * minAnswers {
@@ -201,8 +200,8 @@
 	qt.Check(t, refusal.Code(), qt.Equals, carawayspread.CodeOverloaded)
 }
 
-// Many callers are refused at once. They are told times that the drain rate
-// can serve, spread out, so that they do not come back together.
+// Many callers are refused at once. Their Retry-After times must be spread at the drain rate, so
+// that the callers do not retry together.
 func TestRetryAfterIsSpread(t *testing.T) {
 	s, clock := newTestScheduler()
 	perSecond := map[int]int{}
--- a/internal/decision/fairqueue/shares.go
+++ b/internal/decision/fairqueue/shares.go
@@ -1,15 +1,15 @@
 package fairqueue
 
-// shares keeps the backlogged workspaces in the order in which they are
-// served. All calls take logarithmic time.
+// shares keeps the backlogged workspaces in the order in which they are served. All calls take
+// logarithmic time, apart from sweep.
 type shares struct {
 	flows           map[string]*flow
-	flowsAfterSweep int     // flows that the last sweep left
-	virtualTime     float64 // the smallest tag of a backlogged flow; never falls
-	// window is how far, in work, an urgent workspace may run ahead of the one
-	// that received least.
+	flowsAfterSweep int     // number of flows after the last sweep
+	virtualTime     float64 // smallest tag of a backlogged flow; never decreases
+	// window is how far, in seconds of work, an urgent workspace may get ahead of the least-served
+	// one.
 	window float64
-	// credit is how much unused share a workspace keeps.
+	// credit is how much unused share a workspace keeps, in seconds of work.
 	credit float64
 
 	tags       indexedHeap[*flow] // all backlogged flows by tag
@@ -35,7 +35,7 @@
 	}
 }
 
-// flow returns the queue of the workspace.
+// flow returns the queue of the workspace, creating it if necessary.
 func (s *shares) flow(workspace string) *flow {
 	f, ok := s.flows[workspace]
 	if !ok {
@@ -47,8 +47,8 @@
 	return f
 }
 
-// sweep forgets workspaces that have nothing queued, running or owed. Its cost
-// is spread over the workspaces that came since the last one.
+// sweep removes workspaces that have nothing queued or running and whose tag is not ahead of the
+// virtual time. Its cost is amortised over the workspaces added since the previous sweep.
 func (s *shares) sweep() {
 	const minFlows = 64
 	if len(s.flows) < 2*s.flowsAfterSweep+minFlows {
@@ -75,7 +75,7 @@
 	s.reorder(i.flow)
 }
 
-// charge moves the tag of a flow by the work that it received, or got back.
+// charge adds work to the tag of a flow; negative work is a refund.
 func (s *shares) charge(f *flow, work float64) {
 	f.tag += work
 	if f.jobs.Len() > 0 {
@@ -83,7 +83,7 @@
 	}
 }
 
-// reorder puts a changed flow where it belongs in each heap.
+// reorder updates the position of a changed flow in each heap.
 func (s *shares) reorder(f *flow) {
 	if f.jobs.Len() == 0 {
 		s.tags.remove(f)
@@ -108,7 +108,7 @@
 	s.eligible.put(f)
 }
 
-// advance raises the virtual time and lets in the flows that it reached.
+// advance raises the virtual time and makes the flows eligible that the window then reaches.
 func (s *shares) advance() {
 	if s.tags.Len() == 0 {
 		return
@@ -119,7 +119,7 @@
 	}
 }
 
-// next returns the most urgent job among the workspaces within the window.
+// next returns the most urgent job among the workspaces within the window, or nil.
 func (s *shares) next() *item {
 	if s.eligible.Len() == 0 {
 		return nil
@@ -127,5 +127,5 @@
 	return s.eligible.top().jobs.top()
 }
 
-// backlogged returns the number of workspaces that wait.
+// backlogged returns the number of workspaces with queued jobs.
 func (s *shares) backlogged() int { return s.tags.Len() }
--- a/internal/decision/fifo/scheduler.go
+++ b/internal/decision/fifo/scheduler.go
@@ -1,5 +1,5 @@
-// Package fifo serves jobs in the order of arrival, without limits or
-// refusals. It is the baseline that other schedulers are compared with.
+// Package fifo serves jobs in order of arrival, without limits or refusals. It is the baseline that
+// other schedulers are compared with.
 package fifo
 
 import (
@@ -9,18 +9,18 @@
 	"carawayspread"
 )
 
-// Scheduler is a carawayspread.Scheduler in the order of arrival.
+// Scheduler is a carawayspread.Scheduler that serves jobs in order of arrival.
 type Scheduler struct {
 	slots    int
-	queue    list.List // of *carawayspread.Job, the oldest first
+	queue    list.List // of *carawayspread.Job, oldest first
 	elements map[*carawayspread.Job]*list.Element
 	running  map[*carawayspread.Job]bool
-	parked   []*carawayspread.Job // put back, until the next Done, Capacity or parkedFor
+	parked   []*carawayspread.Job // requeued, until the next Done, Capacity or maxParkTime
 	clock    carawayspread.Clock
-	parkedAt time.Time // when the last job was put back
+	parkedAt time.Time // when the last job was requeued
 }
 
-// maxParkTime is how long a job that could not be placed holds the queue at most.
+// maxParkTime is the longest time that a job which could not be placed blocks the queue.
 const maxParkTime = 20 * time.Millisecond
 
 var _ = carawayspread.Schedulers.Register("fifo", func(env carawayspread.Environment) carawayspread.Scheduler {
@@ -37,13 +37,13 @@
 	}
 }
 
-// Offer queues the job.
+// Offer queues the job; it never refuses one.
 func (s *Scheduler) Offer(job *carawayspread.Job) error {
 	s.elements[job] = s.queue.PushBack(job)
 	return nil
 }
 
-// Next returns the oldest job while slots are free.
+// Next returns the oldest job while slots are free and no job is parked.
 func (s *Scheduler) Next() *carawayspread.Job {
 	if len(s.parked) > 0 && s.clock.Now().Sub(s.parkedAt) >= maxParkTime {
 		s.unpark()
@@ -58,14 +58,14 @@
 	return job
 }
 
-// Requeue puts the job back to the front and holds the queue.
+// Requeue parks the job, which blocks the queue and later returns to its front.
 func (s *Scheduler) Requeue(job *carawayspread.Job) {
 	delete(s.running, job)
 	s.parked = append(s.parked, job)
 	s.parkedAt = s.clock.Now()
 }
 
-// Expired returns nothing: no job is ever refused.
+// Expired returns nothing, since no job is ever refused.
 func (s *Scheduler) Expired() []carawayspread.Refused { return nil }
 
 // Cancel removes a queued job.
@@ -90,7 +90,7 @@
 	s.unpark()
 }
 
-// Capacity sets the slots.
+// Capacity sets the number of slots.
 func (s *Scheduler) Capacity(slots int) {
 	s.slots = slots
 	s.unpark()
--- a/internal/decision/hashrouter/endpoint.go
+++ b/internal/decision/hashrouter/endpoint.go
@@ -8,25 +8,23 @@
 	"carawayspread"
 )
 
-// endpoint is what this entry knows of one worker. It lives on through changes
-// of the endpoint list.
+// endpoint is what this entry knows of one worker. It is kept across changes of the endpoint list.
 type endpoint struct {
 	id       carawayspread.EndpointID
 	inFlight atomic.Int64
 	last     atomic.Pointer[receivedReport] // nil before the first report
-	// crashed is when a report last told of a crash, in Unix nanoseconds; zero
-	// when none did.
+	// crashed is when a crash was last reported, in Unix nanoseconds; zero when none was.
 	crashed atomic.Int64
 }
 
-// receivedReport is a report with what was known when it came. It is immutable.
+// receivedReport is a report with the state of this entry when it arrived. It is immutable.
 type receivedReport struct {
 	report   carawayspread.Report
-	inFlight int64 // attempts of this entry that ran when the report came
+	inFlight int64 // attempts of this entry that were in flight when the report arrived
 }
 
-// update keeps the newer of two reports, since datagrams overtake one another.
-// It reports whether the role or the resident models changed.
+// update stores the report unless a newer one is known, since datagrams can arrive out of order. It
+// reports whether the role or the resident models changed.
 func (e *endpoint) update(report carawayspread.Report) bool {
 	if report.Crashed {
 		e.crashed.Store(report.Taken.UnixNano())
@@ -46,10 +44,9 @@
 	}
 }
 
-// load returns the use of the slots, where one means that all are taken. What
-// the report says is corrected by what this entry started and ended since. A
-// report that grows old loses its weight, so that silence does not send work
-// to the endpoints that were idle last.
+// load returns the utilisation of the slots; 1 means that all are taken. The reported load is
+// corrected by the attempts that this entry has started and ended since. A report loses its weight
+// as it ages, so that missing reports do not direct all work to the endpoints that were idle last.
 func (e *endpoint) load(now time.Time) float64 {
 	inFlight := e.inFlight.Load()
 	last := e.last.Load()
@@ -63,16 +60,16 @@
 	return max(0, weight*reported+(1-weight)*float64(inFlight)) / slots
 }
 
-// full reports whether the endpoint said a moment ago that its queue is long.
-// Refusals carry the load, so that an entry does not ask again at once.
+// full reports whether a very recent report shows a long queue. Refusals carry the load, so that an
+// entry does not try the endpoint again at once.
 func (e *endpoint) full(now time.Time) bool {
 	last := e.last.Load()
 	return last != nil && now.Sub(last.report.Taken) < fullTTL && e.load(now) >= fullLoad
 }
 
-// unavailable reports whether the endpoint said that it takes no work. A report of a
-// crash is believed for a while only: the sidecar may be gone and its endpoint
-// back under another one.
+// unavailable reports whether the endpoint is draining or has crashed according to its last report.
+// A reported crash is believed for crashTTL only: the sidecar may be gone and its endpoint may run
+// again under another one.
 func (e *endpoint) unavailable(now time.Time) bool {
 	last := e.last.Load()
 	if last == nil {
@@ -84,7 +81,7 @@
 	return last.report.Crashed && now.Sub(last.report.Taken) < crashTTL
 }
 
-// role returns the reported role; an endpoint that reported none takes all.
+// role returns the reported role; an endpoint that reported none takes all work.
 func (e *endpoint) role() carawayspread.Role {
 	last := e.last.Load()
 	if last == nil || last.report.Role == "" {
@@ -93,7 +90,7 @@
 	return last.report.Role
 }
 
-// holds reports whether the model is resident, as far as known.
+// holds reports whether the model is resident, or may be because its residency is unknown.
 func (e *endpoint) holds(model string) bool {
 	last := e.last.Load()
 	if model == "" || last == nil || last.report.Models == nil {
--- a/internal/decision/hashrouter/heat.go
+++ b/internal/decision/hashrouter/heat.go
@@ -3,17 +3,17 @@
 import "sync/atomic"
 
 const (
-	// heatCounters leaves seven in eight counters at zero, so that few new
-	// prefixes look like known ones. They take 256 KB.
+	// heatCounters keeps seven in eight counters at zero, so that few new prefixes look like ones
+	// that were seen. The counters take 256 KB.
 	heatCounters = 65536
 	// heatWindow is the number of attempts after which all counts are halved.
 	heatWindow = 8192
-	// minHotCount is the count below which chance decides.
+	// minHotCount is the count below which the frequency of a prefix is mostly chance.
 	minHotCount = 8
 )
 
-// heat counts the attempts of this entry by prefix. Prefixes that share a
-// counter look hotter than they are, which only lets their work overflow.
+// heat counts the attempts of this entry by prefix. Prefixes that share a counter look hotter than
+// they are, which only lets their work overflow.
 type heat struct {
 	counts [heatCounters]atomic.Uint32
 	total  atomic.Uint32
@@ -26,7 +26,7 @@
 	}
 }
 
-// halve costs 16 steps for each attempt that was counted.
+// halve takes an amortised 16 steps for each counted attempt.
 func (h *heat) halve() {
 	for i := range h.counts {
 		h.counts[i].Store(h.counts[i].Load() / 2)
@@ -34,17 +34,18 @@
 	h.total.Store(heatWindow / 2)
 }
 
-// seen reports whether the prefix was sent lately, so that it may be cached.
+// seen reports whether the prefix was sent recently, so that it may be cached.
 func (h *heat) seen(prefix uint64) bool { return h.counts[prefix%heatCounters].Load() > 0 }
 
-// hot reports whether the prefix alone fills half of an endpoint, when load is
-// spread evenly over n of them.
+// hot reports whether the prefix alone takes half the capacity of an endpoint when load is spread
+// evenly over n endpoints.
 func (h *heat) hot(prefix uint64, n int) bool {
 	count := h.counts[prefix%heatCounters].Load()
 	return count >= minHotCount && 2*int(count)*n > int(h.total.Load())
 }
 
-// budget lets a share of the attempts overflow. It holds thousandths.
+// budget is a token bucket that lets a fraction of the attempts overflow. It counts in thousandths
+// of an attempt.
 type budget struct{ left atomic.Int64 }
 
 const (
--- a/internal/decision/hashrouter/pick.go
+++ b/internal/decision/hashrouter/pick.go
@@ -9,7 +9,7 @@
 // maxDisplaced bounds the endpoints that are tried beyond the candidates.
 const maxDisplaced = 16
 
-// pick is one choice in progress.
+// pick is the state of one call of Router.Pick.
 type pick struct {
 	snapshot *snapshot
 	job      *carawayspread.Job
@@ -31,7 +31,7 @@
 	return p.standing(e.id)
 }
 
-// recentlyFailed reports whether the endpoint was lost or crashed lately.
+// recentlyFailed reports whether the endpoint was lost or crashed recently.
 func (p *pick) recentlyFailed(e *endpoint) bool {
 	if e == nil {
 		return false
@@ -40,9 +40,8 @@
 	return !p.snapshot.byID[e.id].lost.IsZero() || crashed != 0 && p.now.UnixNano()-crashed < int64(lostTTL)
 }
 
-// cost weighs load, distance and residency. An endpoint without the model must
-// load it first, which takes seconds: it is chosen only when the other one
-// lacks the model too.
+// cost combines load, distance and residency. An endpoint without the model must load it first,
+// which takes seconds: it is chosen only when the other one lacks the model too.
 func (p *pick) cost(zone string, e *endpoint) float64 {
 	const absentModelCost = 10
 	cost := e.load(p.now)
@@ -55,9 +54,9 @@
 	return cost
 }
 
-// displaced looks for an endpoint beyond the candidates, first where the model
-// is resident, then anywhere. It compares two available endpoints, so that the
-// work of a lost one is spread over the others.
+// displaced looks for an endpoint beyond the candidates, first among those that hold the model,
+// then among all. It compares two available endpoints, so that the work of a lost endpoint is
+// spread over the others.
 func (p *pick) displaced(rings ...*ring) carawayspread.Choice {
 	choice := carawayspread.Choice{Displaced: true}
 	best := 0.0
--- a/internal/decision/hashrouter/ring.go
+++ b/internal/decision/hashrouter/ring.go
@@ -11,9 +11,9 @@
 	"carawayspread"
 )
 
-// pointsPerEndpoint is the number of places of one endpoint on the ring. With 64 the
-// shares of endpoints differ by an eighth (one standard deviation), which the
-// choice by load between two candidates evens out.
+// pointsPerEndpoint is the number of points of one endpoint on the ring. With 64, the shares of
+// endpoints differ by an eighth (one standard deviation), which the choice by load between two
+// candidates evens out.
 const pointsPerEndpoint = 64
 
 type point struct {
@@ -21,8 +21,8 @@
 	member int32 // index into ring.members
 }
 
-// ring maps hashes to endpoints so that a changed membership moves only the
-// work of the endpoints that came or went. It is immutable.
+// ring is a consistent-hash ring: a changed membership moves only the work of the endpoints that
+// joined or left. It is immutable.
 type ring struct {
 	members []*endpoint
 	points  []point // ascending by hash
@@ -51,13 +51,12 @@
 	return xxhash.Sum64String(string(id) + "/" + strconv.Itoa(n))
 }
 
-// find returns the place of the first point at or after the hash.
+// find returns the index of the first point at or after the hash.
 func (r *ring) find(hash uint64) int {
 	return sort.Search(len(r.points), func(i int) bool { return r.points[i].hash >= hash })
 }
 
-// successor returns the first member at or successor the hash that is not one of the
-// others, or nil.
+// successor returns the first member at or after the hash that is not excluded, or nil.
 func (r *ring) successor(hash uint64, excluded ...*endpoint) *endpoint {
 	start := r.find(hash)
 	for n := range r.points {
--- a/internal/decision/hashrouter/roles_test.go
+++ b/internal/decision/hashrouter/roles_test.go
@@ -9,9 +9,9 @@
 	"carawayspread"
 )
 
-// Half of the engines only prefill. An answer that is handed over must reach an
-// engine that decodes without being displaced, since a displaced job asks the
-// table for a trial first, and a long prompt goes to one that only prefills.
+// Half of the engines only prefill. A decode phase that is handed over must reach an engine that
+// decodes without counting as displaced, since a displaced job needs a trial claim from the table
+// first. A long prompt must go to an engine that only prefills.
 func TestPickByRole(t *testing.T) {
 	roles := map[carawayspread.EndpointID]carawayspread.Role{}
 	var ids []carawayspread.EndpointID
--- a/internal/decision/hashrouter/router.go
+++ b/internal/decision/hashrouter/router.go
@@ -9,49 +9,47 @@
 )
 
 const (
-	// reportTTL is the age at which a report has no weight left. Reports come
-	// every few seconds; after three or four lost ones an entry knows no more
-	// than its own attempts.
+	// reportTTL is the age at which a report has no weight left. Reports arrive every few seconds;
+	// after three or four lost ones an entry knows only its own attempts.
 	reportTTL = 15 * time.Second
 	// crashTTL bounds how long a crash is believed without a newer report.
 	crashTTL = 30 * time.Second
-	// fullLoad and fullLife say when an endpoint is spared a request that its
-	// sidecar would refuse: its queue exceeds a quarter of its slots, and the
-	// account of it is no older than a place takes to come free.
+	// fullLoad and fullTTL define when an endpoint is skipped because its sidecar would refuse the
+	// request: its queue exceeds a quarter of its slots, and the report is no older than it takes
+	// for a slot to become free.
 	fullLoad = 1.25
 	fullTTL  = 20 * time.Millisecond
-	// unknownSlots stands for the slots of an endpoint that never reported.
+	// unknownSlots is assumed for an endpoint that never reported its slots.
 	unknownSlots = 16
-	// lostTTL is how long a lost endpoint keeps its place on the ring, so
-	// that the work which mapped to it counts as displaced. It covers the time
-	// in which callers send a request again.
+	// lostTTL is how long a lost endpoint keeps its place on the ring, so that the work mapped to
+	// it counts as displaced. It covers the time in which callers resend a request.
 	lostTTL = 10 * time.Minute
-	// rebuildAfter bounds how often changed residency rebuilds the rings.
+	// rebuildAfter is the minimum interval between rebuilds of the rings because of changed
+	// residency.
 	rebuildAfter = 5 * time.Second
-	// defaultSpread is the number of second candidates of one prefix. A prefix
-	// with a quarter of the load of 32 endpoints got 75% of its callers served
-	// in time with 1, 87% with 4, 97% with 16 and 99.9% with 512; prefixes that
-	// are not hot lose nothing by it, as overflowShare holds them back.
+	// defaultSpread is the number of second candidates of one prefix. A prefix with a quarter of
+	// the load of 32 endpoints got 75% of its callers served in time with 1, 87% with 4, 97% with
+	// 16 and 99.9% with 512. Prefixes that are not hot lose nothing by it, since overflowShare
+	// holds them back.
 	defaultSpread = 512
-	// overflowShare is the part of the attempts, in thousandths, that known
-	// prefixes may send away from their first candidate because of load. In
-	// the 20 s after a cold start of 8 endpoints 97% of the answers were in
-	// time with 200, 90% with 1,000.
+	// overflowShare is the fraction of the attempts, in thousandths, that recently seen prefixes
+	// may send away from their first candidate because of load. In the 20 s after a cold start of 8
+	// endpoints, 97% of the answers were in time with 200 and 90% with 1,000.
 	overflowShare = 200
-	// affinityBias is the load by which the first candidate of a prefix may exceed
-	// the second before work moves. Engines with 64 slots run at about a third
-	// of them: with a bias of 16 slots and a ramp of 32 the load hardly counted.
+	// affinityBias is how much the load of a prefix's first candidate may exceed that of the second
+	// before work moves. Engines with 64 slots use about a third of them: with a bias of 16 slots
+	// and a ramp of 32, the load hardly counted.
 	affinityBias = 0.1
-	// loadRamp is the difference of loads over which the share of the second
-	// candidate grows from none to all. Entries that share one old report move
-	// a part of their work each instead of all at once.
+	// loadRamp is the difference in load over which the share of the second candidate grows from
+	// none to all. Entries that share one old report each move a part of their work instead of all
+	// at once.
 	loadRamp = 0.2
-	// crossZoneCost is the load that a hop to another availability zone is worth.
+	// crossZoneCost is the load to which a hop to another availability zone is equivalent.
 	crossZoneCost = 0.1
 )
 
-// Router is a carawayspread.Router that gives each fingerprint at most two
-// endpoints and lets load decide between them.
+// Router is a carawayspread.Router that maps each fingerprint to at most two endpoints and lets
+// load decide between them.
 type Router struct {
 	clock     carawayspread.Clock
 	zone      string
@@ -61,15 +59,15 @@
 	heat      heat
 	budget    budget
 	current   atomic.Pointer[snapshot]
-	mu        sync.Mutex  // serialises those who replace the snapshot
-	stale     atomic.Bool // residency changed since the snapshot was built
+	mu        sync.Mutex  // serialises replacements of the snapshot
+	stale     atomic.Bool // residency or role changed since the snapshot was built
 }
 
 // Option sets an optional part of a Router.
 type Option func(*Router)
 
-// Spread sets the number of second candidates of one prefix. All entries must
-// agree on it, or a fingerprint maps to more than two endpoints.
+// Spread sets the number of second candidates of one prefix. All entries must use the same number;
+// otherwise a fingerprint maps to more than two endpoints.
 func Spread(n int) Option { return func(r *Router) { r.spread = uint64(max(1, n)) } }
 
 var _ = carawayspread.Routers.Register("hashRouter", func(env carawayspread.Environment) carawayspread.Router {
@@ -86,9 +84,9 @@
 	return r
 }
 
-// SetEndpoints replaces the list. Endpoints that it no longer names keep their
-// place on the ring for lostLife, so it is to be called with every reading of
-// the list.
+// SetEndpoints replaces the list. Endpoints that are no longer listed keep their place on the ring
+// for lostTTL, which is checked only here, so SetEndpoints must be called after every read of the
+// list.
 func (r *Router) SetEndpoints(endpoints []carawayspread.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,7 +99,7 @@
 	r.current.Store(newSnapshot(next, now))
 }
 
-// Reported takes a report of a known endpoint.
+// Reported records a report; reports of unknown endpoints are ignored.
 func (r *Router) Reported(report carawayspread.Report) {
 	m, ok := r.current.Load().byID[report.Endpoint]
 	if ok && m.update(report) {
@@ -110,7 +108,7 @@
 	r.refresh()
 }
 
-// refresh rebuilds the rings after models moved, at most once in rebuildAfter.
+// refresh rebuilds the rings after resident models or roles changed, at most once per rebuildAfter.
 func (r *Router) refresh() {
 	now := r.clock.Now()
 	if !r.stale.Load() || now.Sub(r.current.Load().built) < rebuildAfter {
@@ -123,8 +121,8 @@
 	}
 }
 
-// Pick chooses between the two candidates of the job, and looks further only
-// when both are unavailable.
+// Pick chooses between the two candidates of the job, and tries other endpoints only when both are
+// unavailable.
 func (r *Router) Pick(job *carawayspread.Job, standing func(carawayspread.EndpointID) carawayspread.Standing) carawayspread.Choice {
 	s := r.current.Load()
 	if s.listed == 0 {
@@ -150,10 +148,9 @@
 	return carawayspread.Choice{Endpoint: chosen.id, Displaced: r.replacesFailed(&p, firstRings, secondRings, chosen)}
 }
 
-// replacesFailed reports whether the chosen endpoint took the place of a candidate
-// that was lost or crashed lately. A newcomer changes the candidates of some
-// fingerprints; without this a harmful request that brought down its own two
-// would get the newcomer as a third.
+// replacesFailed reports whether the chosen endpoint took the place of a candidate that was lost or
+// crashed recently. A new endpoint changes the candidates of some fingerprints; without this check,
+// a harmful request that crashed its own two candidates would get the new endpoint as a third.
 func (r *Router) replacesFailed(p *pick, firstRings, secondRings rings, chosen *endpoint) bool {
 	if firstRings.established == firstRings.current && secondRings.established == secondRings.current {
 		return false
@@ -165,12 +162,11 @@
 	return p.recentlyFailed(first) || p.recentlyFailed(second)
 }
 
-// overflows reports whether the job may leave its first candidate because of
-// load. After a restart every prompt misses its cache and all first candidates
-// are full; if all that work went elsewhere it would evict prefixes there
-// before they are used again, and the misses would never end. A hot prefix may
-// always overflow, since it is soon cached everywhere, and so may an unknown
-// one, since it is cached nowhere.
+// overflows reports whether the job may leave its first candidate because of load. After a restart
+// every prompt misses its cache and all first candidates are full. If all that work moved, it would
+// evict prefixes elsewhere before they are used again, and the cache misses would never end. A hot
+// prefix may always overflow, since it is soon cached everywhere, and so may a prefix not seen
+// recently, since it is cached nowhere.
 func (r *Router) overflows(p *pick) bool {
 	if p.job.Prefix == 0 || !r.heat.seen(p.job.Prefix) || r.heat.hot(p.job.Prefix, p.snapshot.listed) {
 		return true
@@ -178,10 +174,9 @@
 	return r.budget.spend()
 }
 
-// candidates returns the endpoints that every entry derives for the job. The
-// first follows from the prefix, so that its cache is found again. The second
-// also follows from the body: a hot prefix overflows onto many endpoints, and
-// still each of its requests has one second candidate.
+// candidates returns the endpoints that every entry derives for the job. The first depends on the
+// prefix, so that its cache is found again. The second also depends on the body: a hot prefix
+// overflows onto many endpoints, while each of its requests still has a single second candidate.
 func (r *Router) candidates(firstRing, secondRing *ring, job *carawayspread.Job) (first, second *endpoint) {
 	if job.Prefix == 0 {
 		first = firstRing.successor(mix(job.Fingerprint, 0))
@@ -191,7 +186,8 @@
 	return first, secondRing.successor(mix(job.Prefix, 1+job.Fingerprint%r.spread), first)
 }
 
-// lessLoaded chooses between two available candidates.
+// lessLoaded chooses between two available candidates at random, with a probability that depends on
+// their costs.
 func (r *Router) lessLoaded(p *pick, first, second *endpoint) *endpoint {
 	difference := p.cost(r.zone, first) - p.cost(r.zone, second)
 	toSecond := difference/loadRamp + 0.5
@@ -204,13 +200,13 @@
 	return first
 }
 
-// draw returns a number in [0, 1) without a lock.
+// draw returns a random number in [0, 1) without a lock.
 func (r *Router) draw() float64 {
 	const bits = 53
 	return float64(mix(r.seed, r.drawCount.Add(1))>>(64-bits)) / (1 << bits)
 }
 
-// Sent counts an attempt of this entry.
+// Sent counts an attempt of this entry as in flight.
 func (r *Router) Sent(id carawayspread.EndpointID, job *carawayspread.Job) {
 	r.count(id, 1)
 	r.budget.earn(overflowShare)
@@ -219,7 +215,7 @@
 	}
 }
 
-// Ended counts it off.
+// Ended removes an attempt from the count.
 func (r *Router) Ended(id carawayspread.EndpointID, _ *carawayspread.Job, _ carawayspread.Outcome) {
 	r.count(id, -1)
 }
--- a/internal/decision/hashrouter/router_test.go
+++ b/internal/decision/hashrouter/router_test.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// An engine that holds the model has reported, another has not yet. The first
-// one crashes: its callers must reach the other, since not known is not
-// absent, and where no holder is left any endpoint.
+// One engine has reported the model as resident and then crashes; the other has not reported its
+// models, or lacks the model. Callers must reach the other engine: unknown residency does not mean
+// that the model is absent, and when no holder is left any endpoint must do.
 func TestPickBeyondKnownHolders(t *testing.T) {
 	for name, models := range map[string][]string{"not known": nil, "known to lack it": {"other"}} {
 		t.Run(name, func(t *testing.T) {
@@ -56,9 +56,8 @@
 	}
 }
 
-// Many entries share reports of any age. Each fingerprint reaches two
-// endpoints through all of them, and prefixes stay on their first one while
-// the load is even.
+// Many entries share reports of different ages. Each fingerprint must reach at most two endpoints
+// through all of them.
 func TestTwoCandidates(t *testing.T) {
 	const endpoints, entries = 50, 10
 	var ids []carawayspread.EndpointID
--- a/internal/decision/hashrouter/snapshot.go
+++ b/internal/decision/hashrouter/snapshot.go
@@ -6,32 +6,31 @@
 	"carawayspread"
 )
 
-// member is an endpoint as the list names it.
+// member is an endpoint as listed.
 type member struct {
 	*endpoint
 	zone    string
 	leaving bool
 	lost    time.Time // when it left the list; zero while it is listed
-	joined  time.Time // when it was first listed; zero for those listed at first
+	joined  time.Time // when it was first listed; zero for those of the first list
 }
 
 func (m *member) isNew(now time.Time) bool {
 	return !m.joined.IsZero() && now.Sub(m.joined) < lostTTL
 }
 
-// rings are the two views of one set of members. They are the same ring while
-// there are no newcomers.
+// rings are two views of one set of members. Both are the same ring while no member is new.
 type rings struct {
-	current     *ring // every member, the lost ones included
-	established *ring // the same without newcomers
+	current     *ring // every member, including the lost ones
+	established *ring // the same without new members
 }
 
-// snapshot is what Pick reads. It is immutable.
+// snapshot is the immutable state that Pick reads.
 type snapshot struct {
 	byID   map[carawayspread.EndpointID]*member
 	listed int // members that are not lost
-	// pools hold the members by what their roles let them take. Those whose
-	// role is not known take everything.
+	// The pools group the members by the work that their roles accept: requests with both phases,
+	// prefill, decode, and every member. Members with unknown role take all work.
 	combined, prefill, decode, all *pool
 	built                          time.Time
 }
@@ -58,13 +57,13 @@
 	return s
 }
 
-// longPrompt is the prompt from which on prefilling stalls the answers of an engine
-// for more than one step.
+// longPrompt is the number of prompt tokens from which prefill stalls the decoding on an engine for
+// more than one step.
 const longPrompt = 2048
 
-// pools returns where the first and the second candidate of a job come from.
-// Long prompts go to engines that only prefill, while those are not loaded more
-// than one that decodes as well; short ones would wait behind them there.
+// pools returns the pools of the first and the second candidate of a job. Long prompts go to
+// engines that only prefill, as long as these are not loaded more than an engine that decodes as
+// well. Short prompts would wait behind long ones there.
 func (s *snapshot) pools(job *carawayspread.Job) (first, second *pool) {
 	first, second = s.combined, s.combined
 	switch {
@@ -89,10 +88,9 @@
 type pool struct {
 	size     int
 	anyModel rings
-	// byModel holds the rings of each model that reports name, with the members
-	// whose models are not known: after a start the first report would else
-	// draw all work to one endpoint. A model that no report names is sought on
-	// all.
+	// byModel holds the rings of each reported model: the members that report it and those whose
+	// models are unknown. Without the latter, the first report after a start would direct all work
+	// to one endpoint. A model that no report names uses anyModel.
 	byModel map[string]rings
 }
 
@@ -140,8 +138,7 @@
 	return p.anyModel
 }
 
-// next returns the members after the list was read, or nil when nothing
-// changed.
+// next returns the members for the new list, or nil when nothing changed.
 func (s *snapshot) next(listed []carawayspread.Endpoint, now time.Time) map[carawayspread.EndpointID]*member {
 	next := make(map[carawayspread.EndpointID]*member, len(listed))
 	changed := false
@@ -169,7 +166,7 @@
 	return next
 }
 
-// becameEstablished reports whether a newcomer of this snapshot is none any more.
+// becameEstablished reports whether a member that was new in this snapshot no longer is.
 func (s *snapshot) becameEstablished(m *member, now time.Time) bool {
 	return m.isNew(s.built) && !m.isNew(now)
 }
--- a/internal/decision/leastoutstanding/router.go
+++ b/internal/decision/leastoutstanding/router.go
@@ -1,6 +1,6 @@
-// Package leastoutstanding sends each job to the endpoint with the fewest
-// requests, by the last report and the attempts of this entry. It is a
-// baseline that other routers are compared with: it looks at every endpoint.
+// Package leastoutstanding sends each job to the endpoint with the fewest requests, by the last
+// report and the attempts of this entry. It is a baseline that other routers are compared with: it
+// examines every endpoint.
 package leastoutstanding
 
 import (
@@ -9,13 +9,12 @@
 	"carawayspread"
 )
 
-// Router is a carawayspread.Router that takes the endpoint with the fewest
-// requests.
+// Router is a carawayspread.Router that chooses the endpoint with the fewest requests.
 type Router struct {
 	mu          sync.Mutex
 	endpoints   []carawayspread.Endpoint
 	reported    map[carawayspread.EndpointID]carawayspread.Report
-	sinceReport map[carawayspread.EndpointID]int // own attempts started less ended since the report
+	sinceReport map[carawayspread.EndpointID]int // own attempts started minus ended since the report
 }
 
 var _ = carawayspread.Routers.Register("leastOutstanding", func(carawayspread.Environment) carawayspread.Router {
@@ -37,7 +36,7 @@
 	r.endpoints = endpoints
 }
 
-// Reported keeps the report.
+// Reported stores the report.
 func (r *Router) Reported(report carawayspread.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -45,7 +44,7 @@
 	r.sinceReport[report.Endpoint] = 0
 }
 
-// Pick returns the free endpoint with the fewest requests.
+// Pick returns the available endpoint with the fewest requests.
 func (r *Router) Pick(_ *carawayspread.Job, standing func(carawayspread.EndpointID) carawayspread.Standing) carawayspread.Choice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,7 +71,7 @@
 // Sent counts an attempt of this entry.
 func (r *Router) Sent(id carawayspread.EndpointID, _ *carawayspread.Job) { r.count(id, 1) }
 
-// Ended counts it off.
+// Ended removes an attempt from the count.
 func (r *Router) Ended(id carawayspread.EndpointID, _ *carawayspread.Job, _ carawayspread.Outcome) {
 	r.count(id, -1)
 }
--- a/internal/decision/neverejects/ejector.go
+++ b/internal/decision/neverejects/ejector.go
@@ -1,5 +1,5 @@
-// Package neverejects gives every endpoint work. It is the baseline that other
-// ejectors are compared with.
+// Package neverejects lets every endpoint receive work. It is the baseline that other ejectors are
+// compared with.
 package neverejects
 
 import (
@@ -8,7 +8,7 @@
 	"carawayspread"
 )
 
-// Ejector is a carawayspread.Ejector that ejects nothing.
+// Ejector is a carawayspread.Ejector that ejects no endpoint.
 type Ejector struct{}
 
 var _ = carawayspread.Ejectors.Register("never", func(carawayspread.Environment) carawayspread.Ejector {
--- a/internal/decision/roundrobin/router.go
+++ b/internal/decision/roundrobin/router.go
@@ -1,5 +1,5 @@
-// Package roundrobin sends jobs to the endpoints in turn. It is a baseline
-// that other routers are compared with.
+// Package roundrobin sends jobs to the endpoints in turn. It is a baseline that other routers are
+// compared with.
 package roundrobin
 
 import (
@@ -8,7 +8,7 @@
 	"carawayspread"
 )
 
-// Router is a carawayspread.Router that takes endpoints in turn.
+// Router is a carawayspread.Router that uses the endpoints in turn.
 type Router struct {
 	endpoints atomic.Pointer[[]carawayspread.Endpoint]
 	turn      atomic.Uint64
@@ -18,7 +18,7 @@
 	return New(env)
 })
 
-// New returns a router without endpoints that starts at a random turn.
+// New returns a router without endpoints that starts at a random position.
 func New(env carawayspread.Environment) *Router {
 	r := &Router{}
 	r.endpoints.Store(&[]carawayspread.Endpoint{})
@@ -34,7 +34,7 @@
 // Reported does nothing.
 func (r *Router) Reported(carawayspread.Report) {}
 
-// Pick returns the next free endpoint.
+// Pick returns the next available endpoint.
 func (r *Router) Pick(_ *carawayspread.Job, standing func(carawayspread.EndpointID) carawayspread.Standing) carawayspread.Choice {
 	endpoints := *r.endpoints.Load()
 	wait := false
--- a/internal/decision/unlimited/limiter.go
+++ b/internal/decision/unlimited/limiter.go
@@ -1,5 +1,5 @@
-// Package unlimited never holds an attempt back. It is the baseline that other
-// limiters are compared with.
+// Package unlimited never limits attempts. It is the baseline that other limiters are compared
+// with.
 package unlimited
 
 import (
