--- a/internal/decision/fairqueue/scheduler.go
+++ b/internal/decision/fairqueue/scheduler.go
@@ -51,9 +51,9 @@
 	meanWork     float64 // of one job, exponentially smoothed; zero before the first
 	items        map[*carawayspread.Job]*item
 	running      map[*carawayspread.Job]*item
-	parked       list.List               // of *item that could not be placed, oldest first
-	unparkedAt   time.Time               // when parked jobs were last queued again
-	refused      []carawayspread.Refused // evicted and expired jobs until the next call of Expired
+	parked       list.List                  // of *item that could not be placed, oldest first
+	unparkedAt   time.Time                  // when parked jobs were last queued again
+	refused      []carawayspread.RefusedJob // evicted and expired jobs until the next call of Expired
 }
 
 // Option sets an optional part of a Scheduler.
@@ -166,7 +166,7 @@
 // refuse removes a queued or parked job and records its refusal.
 func (s *Scheduler) refuse(now time.Time, i *item, late time.Duration) {
 	s.dequeue(i)
-	s.refused = append(s.refused, carawayspread.Refused{Job: i.job, Err: s.refusal(now, i, late)})
+	s.refused = append(s.refused, carawayspread.RefusedJob{Job: i.job, Err: s.refusal(now, i, late)})
 }
 
 // Next returns the job to be sent now.
@@ -219,7 +219,7 @@
 }
 
 // Done frees the slot of the job and replaces its estimated work by the measured work.
-func (s *Scheduler) Done(job *carawayspread.Job, served carawayspread.Served) {
+func (s *Scheduler) Done(job *carawayspread.Job, served carawayspread.JobResult) {
 	now := s.tick()
 	i, ok := s.running[job]
 	if !ok {
@@ -258,7 +258,7 @@
 }
 
 // Expired returns the jobs that were finally refused since the previous call.
-func (s *Scheduler) Expired() []carawayspread.Refused {
+func (s *Scheduler) Expired() []carawayspread.RefusedJob {
 	s.expire(s.tick())
 	refused := s.refused
 	s.refused = nil
--- a/internal/decision/hashrouter/endpoint.go
+++ b/internal/decision/hashrouter/endpoint.go
@@ -19,20 +19,20 @@
 
 // receivedReport is a report with the state of this entry when it arrived. It is immutable.
 type receivedReport struct {
-	report   carawayspread.Report
+	report   carawayspread.EndpointReport
 	inFlight int64 // attempts of this entry that were in flight when the report arrived
 }
 
 // update stores the report unless a newer one is known, since datagrams can arrive out of order. It
 // reports whether the role or the resident models changed.
-func (e *endpoint) update(report carawayspread.Report) bool {
+func (e *endpoint) update(report carawayspread.EndpointReport) bool {
 	if report.Crashed {
-		e.crashed.Store(report.Taken.UnixNano())
+		e.crashed.Store(report.MeasuredAt.UnixNano())
 	}
 	next := &receivedReport{report: report, inFlight: e.inFlight.Load()}
 	for {
 		last := e.last.Load()
-		if last != nil && !report.Taken.After(last.report.Taken) {
+		if last != nil && !report.MeasuredAt.After(last.report.MeasuredAt) {
 			return false
 		}
 		if e.last.CompareAndSwap(last, next) {
@@ -56,7 +56,7 @@
 	report := &last.report
 	slots := float64(max(1, report.Slots))
 	reported := float64(report.Running+report.Waiting) + float64(inFlight-last.inFlight)
-	weight := 1 - min(1, float64(now.Sub(report.Taken))/float64(reportTTL))
+	weight := 1 - min(1, float64(now.Sub(report.MeasuredAt))/float64(reportTTL))
 	return max(0, weight*reported+(1-weight)*float64(inFlight)) / slots
 }
 
@@ -64,7 +64,7 @@
 // entry does not try the endpoint again at once.
 func (e *endpoint) full(now time.Time) bool {
 	last := e.last.Load()
-	return last != nil && now.Sub(last.report.Taken) < fullTTL && e.load(now) >= fullLoad
+	return last != nil && now.Sub(last.report.MeasuredAt) < fullTTL && e.load(now) >= fullLoad
 }
 
 // unavailable reports whether the endpoint is draining or has crashed according to its last report.
@@ -78,7 +78,7 @@
 	if last.report.Draining {
 		return true
 	}
-	return last.report.Crashed && now.Sub(last.report.Taken) < crashTTL
+	return last.report.Crashed && now.Sub(last.report.MeasuredAt) < crashTTL
 }
 
 // role returns the reported role; an endpoint that reported none takes all work.
--- a/internal/decision/hashrouter/router.go
+++ b/internal/decision/hashrouter/router.go
@@ -100,7 +100,7 @@
 }
 
 // Reported records a report; reports of unknown endpoints are ignored.
-func (r *Router) Reported(report carawayspread.Report) {
+func (r *Router) Reported(report carawayspread.EndpointReport) {
 	m, ok := r.current.Load().byID[report.Endpoint]
 	if ok && m.update(report) {
 		r.stale.Store(true)
@@ -123,7 +123,7 @@
 
 // Pick chooses between the two candidates of the job, and tries other endpoints only when both are
 // unavailable.
-func (r *Router) Pick(job *carawayspread.Job, standing func(carawayspread.EndpointID) carawayspread.Standing) carawayspread.Choice {
+func (r *Router) Pick(job *carawayspread.Job, standing func(carawayspread.EndpointID) carawayspread.Availability) carawayspread.Choice {
 	s := r.current.Load()
 	if s.listed == 0 {
 		return carawayspread.Choice{}
@@ -135,17 +135,17 @@
 	a, b := p.check(first), p.check(second)
 	chosen := first
 	switch {
-	case a == carawayspread.StandingFree && b == carawayspread.StandingFree:
+	case a == carawayspread.AvailabilityFree && b == carawayspread.AvailabilityFree:
 		chosen = r.lessLoaded(&p, first, second)
-	case a == carawayspread.StandingFree:
-	case b == carawayspread.StandingFree && (a == carawayspread.StandingOut || r.overflows(&p)):
+	case a == carawayspread.AvailabilityFree:
+	case b == carawayspread.AvailabilityFree && (a == carawayspread.AvailabilityExcluded || r.overflows(&p)):
 		chosen = second
-	case a == carawayspread.StandingBusy || b == carawayspread.StandingBusy:
+	case a == carawayspread.AvailabilityBusy || b == carawayspread.AvailabilityBusy:
 		return carawayspread.Choice{Wait: true}
 	default:
 		return p.displaced(firstRings.current, s.all.anyModel.current)
 	}
-	return carawayspread.Choice{Endpoint: chosen.id, Displaced: r.replacesFailed(&p, firstRings, secondRings, chosen)}
+	return carawayspread.Choice{Endpoint: chosen.id, OutsideAffinity: r.replacesFailed(&p, firstRings, secondRings, chosen)}
 }
 
 // replacesFailed reports whether the chosen endpoint took the place of a candidate that was lost or
--- a/internal/decision/leastoutstanding/router.go
+++ b/internal/decision/leastoutstanding/router.go
@@ -13,7 +13,7 @@
 type Router struct {
 	mu          sync.Mutex
 	endpoints   []carawayspread.Endpoint
-	reported    map[carawayspread.EndpointID]carawayspread.Report
+	reported    map[carawayspread.EndpointID]carawayspread.EndpointReport
 	sinceReport map[carawayspread.EndpointID]int // own attempts started minus ended since the report
 }
 
@@ -24,7 +24,7 @@
 // New returns a router without endpoints.
 func New() *Router {
 	return &Router{
-		reported:    map[carawayspread.EndpointID]carawayspread.Report{},
+		reported:    map[carawayspread.EndpointID]carawayspread.EndpointReport{},
 		sinceReport: map[carawayspread.EndpointID]int{},
 	}
 }
@@ -37,7 +37,7 @@
 }
 
 // Reported stores the report.
-func (r *Router) Reported(report carawayspread.Report) {
+func (r *Router) Reported(report carawayspread.EndpointReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reported[report.Endpoint] = report
@@ -45,7 +45,7 @@
 }
 
 // Pick returns the available endpoint with the fewest requests.
-func (r *Router) Pick(_ *carawayspread.Job, standing func(carawayspread.EndpointID) carawayspread.Standing) carawayspread.Choice {
+func (r *Router) Pick(_ *carawayspread.Job, standing func(carawayspread.EndpointID) carawayspread.Availability) carawayspread.Choice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	choice, least := carawayspread.Choice{}, 0
@@ -55,9 +55,9 @@
 			continue
 		}
 		switch standing(endpoint.ID()) {
-		case carawayspread.StandingBusy:
+		case carawayspread.AvailabilityBusy:
 			choice.Wait = true
-		case carawayspread.StandingFree:
+		case carawayspread.AvailabilityFree:
 			outstanding := report.Running + report.Waiting + r.sinceReport[endpoint.ID()]
 			if choice.Endpoint == "" || outstanding < least {
 				choice.Endpoint, least = endpoint.ID(), outstanding
