--- a/internal/decision/fairqueue/rates.go
+++ b/internal/decision/fairqueue/rates.go
@@ -88,22 +88,22 @@
 	*m = min(max(*m, 1), maxMargin)
 }
 
-func (r *rates) observe(now time.Time, served carawayspread.JobResult) {
-	if served.Took <= 0 {
+func (r *rates) observe(now time.Time, result carawayspread.JobResult) {
+	if result.Took <= 0 {
 		return
 	}
 	r.decay(now)
 	if r.answers >= minAnswers {
-		r.firstMargin.update(served.FirstToken.Seconds(), r.firstTokenSeconds(served.Cost))
-		r.wholeMargin.update(served.Took.Seconds(), r.work(served.Cost))
+		r.firstMargin.update(result.FirstToken.Seconds(), r.firstTokenSeconds(result.Cost))
+		r.wholeMargin.update(result.Took.Seconds(), r.work(result.Cost))
 	}
 	r.answers++
-	if plain(served.Cost) {
-		r.plain.add(served.Took.Seconds(), 1)
+	if plain(result.Cost) {
+		r.plain.add(result.Took.Seconds(), 1)
 		return
 	}
-	r.prefill.add(served.FirstToken.Seconds(), float64(served.Cost.Prefill))
-	r.decode.add((served.Took - served.FirstToken).Seconds(), float64(served.Cost.Decode))
+	r.prefill.add(result.FirstToken.Seconds(), float64(result.Cost.Prefill))
+	r.decode.add((result.Took - result.FirstToken).Seconds(), float64(result.Cost.Decode))
 }
 
 func (r *rates) decay(now time.Time) {
--- a/internal/decision/fairqueue/scheduler.go
+++ b/internal/decision/fairqueue/scheduler.go
@@ -219,18 +219,18 @@
 }
 
 // Done frees the slot of the job and replaces its estimated work by the measured work.
-func (s *Scheduler) Done(job *carawayspread.Job, served carawayspread.JobResult) {
+func (s *Scheduler) Done(job *carawayspread.Job, result carawayspread.JobResult) {
 	now := s.tick()
 	i, ok := s.running[job]
 	if !ok {
 		return
 	}
 	work := 0.0
-	if served.Took > 0 {
-		s.rates.observe(now, served)
-		work = s.rates.work(served.Cost)
+	if result.Took > 0 {
+		s.rates.observe(now, result)
+		work = s.rates.work(result.Cost)
 	}
-	s.drain.ended(i.work, len(s.items) > 0 && served.Took > 0)
+	s.drain.ended(i.work, len(s.items) > 0 && result.Took > 0)
 	s.release(i, work)
 	s.unpark(now)
 }
--- a/internal/decision/hashrouter/pick.go
+++ b/internal/decision/hashrouter/pick.go
@@ -6,15 +6,15 @@
 	"carawayspread"
 )
 
-// maxDisplaced bounds the endpoints that are tried beyond the candidates.
-const maxDisplaced = 16
+// maxFallbacks bounds the endpoints that are tried beyond the candidates.
+const maxFallbacks = 16
 
 // pick is the state of one call of Router.Pick.
 type pick struct {
-	snapshot *snapshot
-	job      *carawayspread.Job
-	standing func(carawayspread.EndpointID) carawayspread.Availability
-	now      time.Time
+	snapshot     *snapshot
+	job          *carawayspread.Job
+	availability func(carawayspread.EndpointID) carawayspread.Availability
+	now          time.Time
 }
 
 func (p *pick) check(e *endpoint) carawayspread.Availability {
@@ -28,7 +28,7 @@
 	if e.full(p.now) {
 		return carawayspread.AvailabilityBusy
 	}
-	return p.standing(e.id)
+	return p.availability(e.id)
 }
 
 // recentlyFailed reports whether the endpoint was lost or crashed recently.
@@ -54,15 +54,15 @@
 	return cost
 }
 
-// displaced looks for an endpoint beyond the candidates, first among those that hold the model,
+// fallback looks for an endpoint beyond the candidates, first among those that hold the model,
 // then among all. It compares two available endpoints, so that the work of a lost endpoint is
 // spread over the others.
-func (p *pick) displaced(rings ...*ring) carawayspread.Choice {
+func (p *pick) fallback(rings ...*ring) carawayspread.Choice {
 	choice := carawayspread.Choice{OutsideAffinity: true}
 	best := 0.0
 	hash := mix(p.job.Fingerprint, p.job.Prefix)
-	for n := range uint64(maxDisplaced) {
-		e := rings[int(n)*len(rings)/maxDisplaced].successor(mix(hash, n))
+	for n := range uint64(maxFallbacks) {
+		e := rings[int(n)*len(rings)/maxFallbacks].successor(mix(hash, n))
 		switch p.check(e) {
 		case carawayspread.AvailabilityBusy:
 			choice.Wait = true
--- a/internal/decision/hashrouter/router.go
+++ b/internal/decision/hashrouter/router.go
@@ -123,12 +123,12 @@
 
 // Pick chooses between the two candidates of the job, and tries other endpoints only when both are
 // unavailable.
-func (r *Router) Pick(job *carawayspread.Job, standing func(carawayspread.EndpointID) carawayspread.Availability) carawayspread.Choice {
+func (r *Router) Pick(job *carawayspread.Job, availability func(carawayspread.EndpointID) carawayspread.Availability) carawayspread.Choice {
 	s := r.current.Load()
 	if s.listed == 0 {
 		return carawayspread.Choice{}
 	}
-	p := pick{snapshot: s, job: job, standing: standing, now: r.clock.Now()}
+	p := pick{snapshot: s, job: job, availability: availability, now: r.clock.Now()}
 	firstPool, secondPool := s.pools(job)
 	firstRings, secondRings := firstPool.rings(job.Model), secondPool.rings(job.Model)
 	first, second := r.candidates(firstRings.current, secondRings.current, job)
@@ -143,7 +143,7 @@
 	case a == carawayspread.AvailabilityBusy || b == carawayspread.AvailabilityBusy:
 		return carawayspread.Choice{Wait: true}
 	default:
-		return p.displaced(firstRings.current, s.all.anyModel.current)
+		return p.fallback(firstRings.current, s.all.anyModel.current)
 	}
 	return carawayspread.Choice{Endpoint: chosen.id, OutsideAffinity: r.replacesFailed(&p, firstRings, secondRings, chosen)}
 }
--- a/internal/decision/inflight/window.go
+++ b/internal/decision/inflight/window.go
@@ -39,8 +39,8 @@
 	size    float64 // from the equal part to all; zero before the first Fleet
 }
 
-// Fleet tells the slots of all endpoints and the number of entries before them.
-func (w *Window) Fleet(slots, entries int) {
+// SetCapacity tells the slots of all endpoints and the number of entries before them.
+func (w *Window) SetCapacity(slots, entries int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if slots == w.slots && entries == w.entries {
--- a/internal/decision/leastoutstanding/router.go
+++ b/internal/decision/leastoutstanding/router.go
@@ -45,7 +45,7 @@
 }
 
 // Pick returns the available endpoint with the fewest requests.
-func (r *Router) Pick(_ *carawayspread.Job, standing func(carawayspread.EndpointID) carawayspread.Availability) carawayspread.Choice {
+func (r *Router) Pick(_ *carawayspread.Job, availability func(carawayspread.EndpointID) carawayspread.Availability) carawayspread.Choice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	choice, least := carawayspread.Choice{}, 0
@@ -54,7 +54,7 @@
 		if endpoint.Leaving() || report.Draining || report.Crashed {
 			continue
 		}
-		switch standing(endpoint.ID()) {
+		switch availability(endpoint.ID()) {
 		case carawayspread.AvailabilityBusy:
 			choice.Wait = true
 		case carawayspread.AvailabilityFree:
--- a/internal/decision/overload/crash_test.go
+++ b/internal/decision/overload/crash_test.go
@@ -137,7 +137,7 @@
 		if n.f.off {
 			return choice.Endpoint, false, n.f.workers[choice.Endpoint].run(job, choice.Endpoint, false)
 		}
-		verdict, refusal := n.memory.Decide(quarantine.Attempt{Fingerprint: job.Fingerprint, Displaced: choice.OutsideAffinity})
+		verdict, refusal := n.memory.Decide(quarantine.Attempt{Fingerprint: job.Fingerprint, OutsideAffinity: choice.OutsideAffinity})
 		if refusal != nil {
 			return "", false, refusal
 		}
@@ -159,7 +159,7 @@
 	if refusal != nil {
 		return "", refusal
 	}
-	victims = append(victims, n.memory.Crashes(job.Fingerprint)...)
+	victims = append(victims, n.memory.CrashedEndpoints(job.Fingerprint)...)
 	choice := n.pick(job, victims)
 	refusal = refuse(carawayspread.CodeSuspect)
 	if choice.Endpoint != "" && (!choice.OutsideAffinity || len(victims) == 0) {
--- a/internal/decision/overload/silence_test.go
+++ b/internal/decision/overload/silence_test.go
@@ -55,7 +55,7 @@
 				budget.Allow()
 			}
 			memory.Crashed(quarantine.Crash{Endpoint: ids[0], At: clock.Now()}, []uint64{1}, nil)
-			memory.Convicted(2, 10*time.Minute)
+			memory.Quarantined(2, 10*time.Minute)
 			limit := limiter.Limit()
 			fixed := job()
 			for range 50 {
--- a/internal/decision/overload/world_test.go
+++ b/internal/decision/overload/world_test.go
@@ -403,7 +403,7 @@
 	for _, n := range w.entries {
 		n.router.SetEndpoints(listed)
 		n.ejector.SetEndpoints(ids)
-		n.window.Fleet(slots, len(w.entries))
+		n.window.SetCapacity(slots, len(w.entries))
 		n.scheduler.Capacity(n.window.Size())
 		n.pump()
 	}
--- a/internal/decision/plainplacement/placer.go
+++ b/internal/decision/plainplacement/placer.go
@@ -68,8 +68,8 @@
 	if req.Prompt == nil || len(req.Prompt.Parts) < 2 || req.PrefilledBy != "" {
 		return leastOutstanding(p, candidates, req)
 	}
-	chains := req.Prompt.PrefixHashes()
-	shared := chains[len(chains)-2]
+	hashes := req.Prompt.PrefixHashes()
+	shared := hashes[len(hashes)-2]
 	var best carawayspread.Endpoint
 	var bestScore uint64
 	for _, e := range candidates {
@@ -103,12 +103,12 @@
 func (p *Placer) Place(req carawayspread.PlacementRequest) (carawayspread.Placement, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var prefillers, others []carawayspread.Endpoint
+	var prefillEngines, others []carawayspread.Endpoint
 	for _, e := range p.endpoints[req.Service.Name] {
 		switch {
 		case e.Leaving() || req.Exclude[e.ID()]:
 		case e.Role() == carawayspread.RolePrefill:
-			prefillers = append(prefillers, e)
+			prefillEngines = append(prefillEngines, e)
 		default:
 			others = append(others, e)
 		}
@@ -116,9 +116,9 @@
 	if len(others) == 0 {
 		return carawayspread.Placement{}, refuse()
 	}
-	candidates, reads := others, false
-	if req.Prompt != nil && req.PrefilledBy == "" && !req.SingleEndpoint && len(prefillers) > 0 {
-		candidates, reads = prefillers, true
+	candidates, prefillOnly := others, false
+	if req.Prompt != nil && req.PrefilledBy == "" && !req.SingleEndpoint && len(prefillEngines) > 0 {
+		candidates, prefillOnly = prefillEngines, true
 	}
 	pick := p.pick
 	if req.PrefilledBy != "" {
@@ -128,7 +128,7 @@
 	if !ok && !req.Admitted {
 		return carawayspread.Placement{}, refuse()
 	}
-	return carawayspread.Placement{Endpoint: endpoint, PrefillOnly: reads}, nil
+	return carawayspread.Placement{Endpoint: endpoint, PrefillOnly: prefillOnly}, nil
 }
 
 func refuse() *carawayspread.Error {
@@ -136,7 +136,7 @@
 		carawayspread.NotRun(), carawayspread.RetryAfter(retryDelay))
 }
 
-type stay struct {
+type attemptTracker struct {
 	placer *Placer
 	id     carawayspread.EndpointID
 	tokens int
@@ -147,7 +147,7 @@
 func (p *Placer) Sent(req carawayspread.PlacementRequest, at carawayspread.Placement) carawayspread.AttemptTracker {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := &stay{placer: p, id: at.Endpoint.ID()}
+	s := &attemptTracker{placer: p, id: at.Endpoint.ID()}
 	if req.Prompt != nil {
 		s.tokens = req.Prompt.Tokens
 	}
@@ -157,16 +157,16 @@
 }
 
 // Answered learns nothing.
-func (*stay) Answered() {}
+func (*attemptTracker) Answered() {}
 
 // Event learns nothing.
-func (*stay) Event() {}
+func (*attemptTracker) Event() {}
 
 // Stalled takes every wait that is long for a stall.
-func (*stay) Stalled() bool { return true }
+func (*attemptTracker) Stalled() bool { return true }
 
 // End counts the attempt off.
-func (s *stay) End(carawayspread.Outcome) {
+func (s *attemptTracker) End(carawayspread.Outcome) {
 	s.once.Do(func() {
 		s.placer.mu.Lock()
 		defer s.placer.mu.Unlock()
--- a/internal/decision/quarantine/alive.go
+++ b/internal/decision/quarantine/alive.go
@@ -34,14 +34,14 @@
 	q.recentEndpoints.Store(int64(len(q.recent)))
 }
 
-// Alive records that the endpoint has answered a request that was sent at that
+// EndpointAnswered records that the endpoint has answered a request that was sent at that
 // time, and returns the requests that it cleared.
 //
 // Failure: an endpoint breaks off single answers and runs on. Symptom: whoever
 // meets two such breaks is refused for the whole term though it harms nobody.
 // What was sent after the break and answered before a restart could be over was
 // answered by the same process, so that nothing has crashed.
-func (q *Quarantine) Alive(endpoint carawayspread.EndpointID, sent time.Time) []uint64 {
+func (q *Quarantine) EndpointAnswered(endpoint carawayspread.EndpointID, sent time.Time) []uint64 {
 	if q.recentEndpoints.Load() == 0 {
 		return nil
 	}
@@ -67,8 +67,8 @@
 	return cleared
 }
 
-// Withdraw takes back a crash that another process found to be none.
-func (q *Quarantine) Withdraw(fingerprint uint64, endpoint carawayspread.EndpointID) {
+// WithdrawCrash takes back a crash that another process found to be none.
+func (q *Quarantine) WithdrawCrash(fingerprint uint64, endpoint carawayspread.EndpointID) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.withdraw(fingerprint, endpoint, q.clock.Now())
--- a/internal/decision/quarantine/alive_test.go
+++ b/internal/decision/quarantine/alive_test.go
@@ -35,7 +35,7 @@
 			q.Crashed(Crash{Endpoint: "b", At: clock.Now()}, []uint64{fingerprint, 8}, nil)
 			crashedAt := clock.Now()
 			clock.Advance(test.answeredAfter)
-			cleared := q.Alive(test.endpoint, crashedAt.Add(test.sentAfter))
+			cleared := q.EndpointAnswered(test.endpoint, crashedAt.Add(test.sentAfter))
 			qt.Check(t, len(cleared) == 0, qt.Equals, test.refused)
 			verdict, _ := q.Decide(Attempt{Fingerprint: fingerprint})
 			qt.Check(t, verdict == VerdictRefuse, qt.Equals, test.refused)
@@ -56,14 +56,14 @@
 		q.Crashed(Crash{Endpoint: id, At: clock.Now()}, []uint64{7}, nil)
 	}
 	qt.Check(t, refused(), qt.IsTrue)
-	q.Withdraw(7, "b")
-	q.Withdraw(7, "unknown")
-	q.Withdraw(9, "b")
+	q.WithdrawCrash(7, "b")
+	q.WithdrawCrash(7, "unknown")
+	q.WithdrawCrash(9, "b")
 	qt.Check(t, refused(), qt.IsFalse)
 	q.Crashed(Crash{Endpoint: "c", At: clock.Now()}, []uint64{7}, nil)
 	qt.Check(t, refused(), qt.IsTrue)
-	q.Withdraw(7, "a")
-	q.Withdraw(7, "c")
+	q.WithdrawCrash(7, "a")
+	q.WithdrawCrash(7, "c")
 	qt.Check(t, q.Len(), qt.Equals, 0)
 }
 
@@ -79,6 +79,6 @@
 	q.Crashed(Crash{Endpoint: "b", At: clock.Now()}, []uint64{1}, nil)
 	qt.Check(t, q.recent, qt.HasLen, 1)
 	clock.Advance(2 * aliveWithin)
-	q.Alive("b", clock.Now())
+	q.EndpointAnswered("b", clock.Now())
 	qt.Check(t, q.recentEndpoints.Load(), qt.Equals, int64(0))
 }
--- a/internal/decision/quarantine/quarantine.go
+++ b/internal/decision/quarantine/quarantine.go
@@ -37,9 +37,9 @@
 
 // Attempt is a request that is about to be sent or run.
 type Attempt struct {
-	Fingerprint uint64
-	Displaced   bool // none of its own endpoints is available
-	Claimed     bool // its trial is claimed for this attempt
+	Fingerprint     uint64
+	OutsideAffinity bool // none of its own endpoints is available
+	Claimed         bool // its trial is claimed for this attempt
 	// Endpoint is where a sidecar would run it; empty when an entry asks.
 	Endpoint carawayspread.EndpointID
 }
@@ -78,8 +78,8 @@
 // Option sets an optional part of a Quarantine.
 type Option func(*Quarantine)
 
-// Term sets how long a conviction lasts.
-func Term(d time.Duration) Option { return func(q *Quarantine) { q.duration = d } }
+// Duration sets how long a conviction lasts.
+func Duration(d time.Duration) Option { return func(q *Quarantine) { q.duration = d } }
 
 // New returns a quarantine that suspects nobody.
 func New(clock carawayspread.Clock, opts ...Option) *Quarantine {
@@ -109,7 +109,7 @@
 		return VerdictTrial, nil
 	case attempt.Claimed:
 		return VerdictRun, nil
-	case r != nil || attempt.Displaced:
+	case r != nil || attempt.OutsideAffinity:
 		return VerdictTrial, nil
 	}
 	return VerdictRun, nil
@@ -140,8 +140,8 @@
 	}
 }
 
-// Convicted records what another process found.
-func (q *Quarantine) Convicted(fingerprint uint64, left time.Duration) {
+// Quarantined records what another process found.
+func (q *Quarantine) Quarantined(fingerprint uint64, left time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.clock.Now()
@@ -163,11 +163,11 @@
 	}
 }
 
-// Crashes returns the endpoints that the request is known to have crashed. Its
+// CrashedEndpoints returns the endpoints that the request is known to have crashed. Its
 // trial must go to its other candidate: a copy may run there that nobody who
 // knows of the first crash has seen, and only that sidecar can keep the two
 // apart.
-func (q *Quarantine) Crashes(fingerprint uint64) []carawayspread.EndpointID {
+func (q *Quarantine) CrashedEndpoints(fingerprint uint64) []carawayspread.EndpointID {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	r := q.find(fingerprint, q.clock.Now())
--- a/internal/decision/quarantine/refusals.go
+++ b/internal/decision/quarantine/refusals.go
@@ -37,9 +37,9 @@
 	return refusals{own: own, peers: peers}
 }
 
-// Doubts returns the newest requests that are refused here, of which peers may know an
+// Refused returns the newest requests that are refused here, of which peers may know an
 // answer.
-func (q *Quarantine) Doubts() []uint64 {
+func (q *Quarantine) Refused() []uint64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.clock.Now()
@@ -54,8 +54,8 @@
 	return refused
 }
 
-// Doubted takes what a peer refuses.
-func (q *Quarantine) Doubted(refused []uint64) {
+// RefusedByPeer takes what a peer refuses.
+func (q *Quarantine) RefusedByPeer(refused []uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.clock.Now()
@@ -73,8 +73,8 @@
 	return ok && q.clock.Now().Sub(refusedAt) < peerRefusalTTL
 }
 
-// Cleared takes note that the request was answered elsewhere.
-func (q *Quarantine) Cleared(fingerprint uint64) {
+// AnsweredByPeer takes note that the request was answered elsewhere.
+func (q *Quarantine) AnsweredByPeer(fingerprint uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.records.Remove(fingerprint)
--- a/internal/decision/quarantine/refusals_test.go
+++ b/internal/decision/quarantine/refusals_test.go
@@ -18,31 +18,31 @@
 	for _, endpoint := range []string{"one", "another"} {
 		refusing.Crashed(Crash{Endpoint: carawayspread.EndpointID(endpoint), At: clock.Now()}, []uint64{7}, nil)
 	}
-	qt.Assert(t, refusing.Doubts(), qt.DeepEquals, []uint64{7})
+	qt.Assert(t, refusing.Refused(), qt.DeepEquals, []uint64{7})
 	qt.Check(t, answering.Served(7), qt.IsFalse, qt.Commentf("no peer refuses it"))
-	answering.Doubted(refusing.Doubts())
+	answering.RefusedByPeer(refusing.Refused())
 	qt.Check(t, answering.Served(8), qt.IsFalse, qt.Commentf("another request"))
 	qt.Check(t, answering.Served(7), qt.IsTrue)
 	qt.Check(t, answering.Served(7), qt.IsFalse, qt.Commentf("reported once"))
-	answering.Doubted(refusing.Doubts())
+	answering.RefusedByPeer(refusing.Refused())
 	clock.Advance(peerRefusalTTL)
 	qt.Check(t, answering.Served(7), qt.IsFalse, qt.Commentf("the query has expired"))
-	refusing.Cleared(7)
+	refusing.AnsweredByPeer(7)
 	verdict, _ := refusing.Decide(Attempt{Fingerprint: 7})
 	qt.Check(t, verdict, qt.Equals, VerdictRun)
-	qt.Check(t, refusing.Doubts(), qt.HasLen, 0)
+	qt.Check(t, refusing.Refused(), qt.HasLen, 0)
 }
 
 // What is asked of peers ends with the conviction, and is bounded.
 func TestRefusalsAreBounded(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	q := New(clock, Term(time.Minute))
+	q := New(clock, Duration(time.Minute))
 	for fingerprint := range uint64(4 * maxRefusals) {
 		for _, endpoint := range []string{"one", "another"} {
 			q.Crashed(Crash{Endpoint: carawayspread.EndpointID(endpoint), At: clock.Now()}, []uint64{fingerprint}, nil)
 		}
 	}
-	qt.Check(t, q.Doubts(), qt.HasLen, maxRefusals)
+	qt.Check(t, q.Refused(), qt.HasLen, maxRefusals)
 	clock.Advance(2 * time.Minute)
-	qt.Check(t, q.Doubts(), qt.HasLen, 0)
+	qt.Check(t, q.Refused(), qt.HasLen, 0)
 }
--- a/internal/decision/roundrobin/router.go
+++ b/internal/decision/roundrobin/router.go
@@ -35,7 +35,7 @@
 func (r *Router) Reported(carawayspread.EndpointReport) {}
 
 // Pick returns the next available endpoint.
-func (r *Router) Pick(_ *carawayspread.Job, standing func(carawayspread.EndpointID) carawayspread.Availability) carawayspread.Choice {
+func (r *Router) Pick(_ *carawayspread.Job, availability func(carawayspread.EndpointID) carawayspread.Availability) carawayspread.Choice {
 	endpoints := *r.endpoints.Load()
 	wait := false
 	for range endpoints {
@@ -43,7 +43,7 @@
 		if next.Leaving() {
 			continue
 		}
-		switch standing(next.ID()) {
+		switch availability(next.ID()) {
 		case carawayspread.AvailabilityFree:
 			return carawayspread.Choice{Endpoint: next.ID()}
 		case carawayspread.AvailabilityBusy:
--- a/internal/process/entry/suspects.go
+++ b/internal/process/entry/suspects.go
@@ -40,7 +40,7 @@
 // refusal. The endpoints that the call has crashed count as tried.
 func (e *Entry) clear(ctx context.Context, c *call.Call, place *lane.Place, tried map[carawayspread.EndpointID]bool) (clearance, *carawayspread.Error) {
 	fingerprint := c.Job().Fingerprint
-	verdict, refusal := e.suspects.Decide(quarantine.Attempt{Fingerprint: fingerprint, Displaced: place.Displaced()})
+	verdict, refusal := e.suspects.Decide(quarantine.Attempt{Fingerprint: fingerprint, OutsideAffinity: place.Displaced()})
 	switch verdict {
 	case quarantine.VerdictRun:
 		return clearance{}, nil
@@ -50,11 +50,11 @@
 	victims, refusal := e.trials.Claim(ctx, fingerprint)
 	if refusal != nil {
 		if refusal.Code() == carawayspread.CodeQuarantined {
-			e.suspects.Convicted(fingerprint, refusal.RetryAfter())
+			e.suspects.Quarantined(fingerprint, refusal.RetryAfter())
 		}
 		return clearance{}, refusal
 	}
-	victims = append(victims, e.suspects.Crashes(fingerprint)...)
+	victims = append(victims, e.suspects.CrashedEndpoints(fingerprint)...)
 	for _, id := range victims {
 		tried[id] = true
 	}
--- a/internal/process/gateway/call.go
+++ b/internal/process/gateway/call.go
@@ -249,7 +249,7 @@
 
 // alive clears requests that the endpoint did not crash with, as it answers.
 func (c *call) alive(at carawayspread.Placement, sent time.Time) {
-	for _, fingerprint := range c.g.quarantine.Alive(at.Endpoint.ID(), sent) {
+	for _, fingerprint := range c.g.quarantine.EndpointAnswered(at.Endpoint.ID(), sent) {
 		c.g.crashed(fingerprint, at.Endpoint.ID(), true)
 	}
 }
--- a/internal/process/gateway/gateway.go
+++ b/internal/process/gateway/gateway.go
@@ -112,7 +112,7 @@
 ) *Gateway {
 	g := &Gateway{
 		exchange: exchange, protocol: protocol, placer: placer, clock: clock, log: log, set: metrics.NewSet(),
-		quarantine:   quarantine.New(clock, quarantine.Term(suspicion)),
+		quarantine:   quarantine.New(clock, quarantine.Duration(suspicion)),
 		backpressure: backpressure.New(clock, alone),
 		tellFeedback: func(carawayspread.EndpointID, carawayspread.Feedback) {},
 		terms:        fleetbudget.Terms{Ratio: 0.1, Slack: 10, Window: 10 * time.Second},
@@ -180,20 +180,20 @@
 // Crashed takes what a peer saw.
 func (g *Gateway) Crashed(fingerprint uint64, id carawayspread.EndpointID, withdrawn bool) {
 	if withdrawn {
-		g.quarantine.Withdraw(fingerprint, id)
+		g.quarantine.WithdrawCrash(fingerprint, id)
 		return
 	}
 	g.quarantine.Crashed(quarantine.Crash{Endpoint: id, At: g.clock.Now()}, []uint64{fingerprint}, nil)
 }
 
 // Doubts returns the requests that are refused here, of which peers may know an answer.
-func (g *Gateway) Doubts() []uint64 { return g.quarantine.Doubts() }
+func (g *Gateway) Doubts() []uint64 { return g.quarantine.Refused() }
 
 // Doubted takes what a peer refuses.
-func (g *Gateway) Doubted(refused []uint64) { g.quarantine.Doubted(refused) }
+func (g *Gateway) Doubted(refused []uint64) { g.quarantine.RefusedByPeer(refused) }
 
 // Cleared takes note that a peer answered a request.
-func (g *Gateway) Cleared(fingerprint uint64) { g.quarantine.Cleared(fingerprint) }
+func (g *Gateway) Cleared(fingerprint uint64) { g.quarantine.AnsweredByPeer(fingerprint) }
 
 // Leave makes the gateway take, from the first moment on, only what is sure to
 // have its answer before the second.
--- a/internal/process/lane/lane.go
+++ b/internal/process/lane/lane.go
@@ -142,7 +142,7 @@
 		limits += limit
 		slots += slot.lastSlots(limit)
 	}
-	l.window.Fleet(slots, max(1, int(l.entries.Load())))
+	l.window.SetCapacity(slots, max(1, int(l.entries.Load())))
 	return min(l.window.Size(), limits)
 }
 
