--- a/internal/daemon/gatewayd/daemon.go
+++ b/internal/daemon/gatewayd/daemon.go
@@ -32,9 +32,9 @@
 	"carawayspread/internal/version/gatewaysettings"
 
 	// The modules that the daemon runs register themselves.
+	_ "carawayspread/internal/decision/baselineplacement"
 	_ "carawayspread/internal/decision/ejection"
 	_ "carawayspread/internal/decision/placement"
-	_ "carawayspread/internal/decision/plainplacement"
 	_ "carawayspread/internal/decision/rolebalance"
 	_ "carawayspread/internal/decision/rolepolicy"
 )
--- a/internal/decision/plainplacement/placer.go
+++ b/internal/decision/baselineplacement/placer.go
@@ -1,9 +1,9 @@
-// Package plainplacement holds the baselines that placements are compared with.
+// Package baselineplacement holds the baselines that placements are compared with.
 //
 // They share one rule: prompts are read by engines that only read, where there
 // are any, and answered by the one with the fewest attempts of this process.
 // They know nothing of other processes, of time, or of what an engine holds.
-package plainplacement
+package baselineplacement
 
 import (
 	"hash/fnv"
--- a/internal/decision/placement/replay_test.go
+++ b/internal/decision/placement/replay_test.go
@@ -12,8 +12,8 @@
 	"github.com/jonboulle/clockwork"
 
 	"carawayspread"
+	_ "carawayspread/internal/decision/baselineplacement"
 	_ "carawayspread/internal/decision/ejection"
-	_ "carawayspread/internal/decision/plainplacement"
 )
 
 // A replay plays a load against engines of a simple model: a reader works off
