--- a/internal/decision/baselineplacement/placer.go
+++ b/internal/decision/baselineplacement/placer.go
@@ -1,8 +1,8 @@
 // Package baselineplacement holds the baselines that placements are compared with.
 //
-// They share one rule: prompts are read by engines that only read, where there
-// are any, and answered by the one with the fewest attempts of this process.
-// They know nothing of other processes, of time, or of what an engine holds.
+// They share one rule: prompts are prefilled by engines with the prefill role, where there are any,
+// and the answer comes from the engine with the fewest attempts of this process. They do not
+// consider other processes, time, or what an engine has cached.
 package baselineplacement
 
 import (
@@ -15,13 +15,14 @@
 )
 
 const (
-	// maxPromptTokens is the bound on prompt tokens of one process at one reader.
+	// maxPromptTokens bounds the prompt tokens that one process has in flight at one prefill engine,
+	// for boundedHome.
 	maxPromptTokens = 15000
-	// retryDelay is when a refused caller may try again.
+	// retryDelay is the Retry-After time of a refused caller.
 	retryDelay = time.Second
 )
 
-// Placer is a carawayspread.Placer by one simple rule.
+// Placer is a carawayspread.Placer that follows one simple rule.
 type Placer struct {
 	pick func(p *Placer, candidates []carawayspread.Endpoint, req carawayspread.PlacementRequest) (carawayspread.Endpoint, bool)
 
@@ -63,7 +64,7 @@
 	return best, true
 }
 
-// fixedHome sends each shared beginning to one reader, by rendezvous hashing.
+// fixedHome sends prompts with a shared prefix to the same endpoint, by rendezvous hashing.
 func fixedHome(p *Placer, candidates []carawayspread.Endpoint, req carawayspread.PlacementRequest) (carawayspread.Endpoint, bool) {
 	if req.Prompt == nil || len(req.Prompt.Parts) < 2 || req.PrefilledBy != "" {
 		return leastOutstanding(p, candidates, req)
@@ -99,7 +100,7 @@
 	p.endpoints[service] = ordered
 }
 
-// Place chooses by the rule.
+// Place chooses an endpoint by the rule.
 func (p *Placer) Place(req carawayspread.PlacementRequest) (carawayspread.Placement, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -147,39 +148,39 @@
 func (p *Placer) Sent(req carawayspread.PlacementRequest, at carawayspread.Placement) carawayspread.AttemptTracker {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := &attemptTracker{placer: p, id: at.Endpoint.ID()}
+	t := &attemptTracker{placer: p, id: at.Endpoint.ID()}
 	if req.Prompt != nil {
-		s.tokens = req.Prompt.Tokens
+		t.tokens = req.Prompt.Tokens
 	}
-	p.count[s.id]++
-	p.tokens[s.id] += s.tokens
-	return s
+	p.count[t.id]++
+	p.tokens[t.id] += t.tokens
+	return t
 }
 
-// Answered learns nothing.
+// Answered does nothing.
 func (*attemptTracker) Answered() {}
 
-// Event learns nothing.
+// Event does nothing.
 func (*attemptTracker) Event() {}
 
-// Stalled takes every wait that is long for a stall.
+// Stalled always returns true: every long wait counts as a stall.
 func (*attemptTracker) Stalled() bool { return true }
 
-// End counts the attempt off.
-func (s *attemptTracker) End(carawayspread.Outcome) {
-	s.once.Do(func() {
-		s.placer.mu.Lock()
-		defer s.placer.mu.Unlock()
-		s.placer.count[s.id]--
-		s.placer.tokens[s.id] -= s.tokens
+// End removes the attempt from the count.
+func (t *attemptTracker) End(carawayspread.Outcome) {
+	t.once.Do(func() {
+		t.placer.mu.Lock()
+		defer t.placer.mu.Unlock()
+		t.placer.count[t.id]--
+		t.placer.tokens[t.id] -= t.tokens
 	})
 }
 
-// ApplyLoadUpdates learns nothing from peers.
+// ApplyLoadUpdates ignores what peers report.
 func (*Placer) ApplyLoadUpdates(string, []carawayspread.LoadUpdate) {}
 
-// Crashed learns nothing.
+// Crashed does nothing.
 func (*Placer) Crashed(carawayspread.EndpointID) {}
 
-// MarkStale changes nothing: the list will tell.
+// MarkStale does nothing: the endpoint list will show it.
 func (*Placer) MarkStale(carawayspread.EndpointID) {}
--- a/internal/decision/fairqueue/scheduler_test.go
+++ b/internal/decision/fairqueue/scheduler_test.go
@@ -151,7 +151,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		targets := rapid.SliceOfN(rapid.IntRange(10, 1000), 3, 12).Draw(t, "targets")
 		tighter := rapid.IntRange(1, targets[1]).Draw(t, "tighter")
-		place := func() int {
+		position := func() int {
 			s, clock := newTestScheduler()
 			var watched *carawayspread.Job
 			for n, target := range targets {
@@ -172,9 +172,9 @@
 			}
 			return -1
 		}
-		before := place()
+		before := position()
 		targets[1] = tighter
-		if after := place(); after > before {
+		if after := position(); after > before {
 			t.Fatalf("sent as number %d, before as %d", after, before)
 		}
 	})
--- a/internal/decision/hashrouter/doc.go
+++ b/internal/decision/hashrouter/doc.go
@@ -11,9 +11,10 @@
 // the prefix, the second from prefix and body. Load decides between them. It is taken from the last
 // report, corrected by the attempts that this entry has started and ended since, and the
 // probability of the second candidate grows with the difference in load instead of switching at a
-// threshold. A job leaves its candidates only when both are unavailable, and is then marked as
-// displaced. A lost endpoint keeps its place on the ring for ten minutes; otherwise its work would
-// silently get new candidates, and a harmful request could crash further endpoints.
+// threshold. A job leaves its candidates only when both are unavailable, and its choice is then
+// marked as outside affinity. A lost endpoint keeps its place on the ring for ten minutes;
+// otherwise its work would silently get new candidates, and a harmful request could crash further
+// endpoints.
 //
 // Where engines have roles, the candidates of each phase come from the engines that take it: long
 // prompts go first to engines that only prefill, then to those with both roles; answers that are
--- a/internal/decision/hashrouter/roles_test.go
+++ b/internal/decision/hashrouter/roles_test.go
@@ -10,7 +10,7 @@
 )
 
 // Half of the engines only prefill. A decode phase that is handed over must reach an engine that
-// decodes without counting as displaced, since a displaced job needs a trial claim from the table
+// decodes without counting as outside affinity, since such a job needs a trial claim from the table
 // first. A long prompt must go to an engine that only prefills.
 func TestPickByRole(t *testing.T) {
 	roles := map[carawayspread.EndpointID]carawayspread.Role{}
--- a/internal/decision/hashrouter/router.go
+++ b/internal/decision/hashrouter/router.go
@@ -22,7 +22,7 @@
 	// unknownSlots is assumed for an endpoint that never reported its slots.
 	unknownSlots = 16
 	// lostTTL is how long a lost endpoint keeps its place on the ring, so that the work mapped to
-	// it counts as displaced. It covers the time in which callers resend a request.
+	// it counts as outside affinity. It covers the time in which callers resend a request.
 	lostTTL = 10 * time.Minute
 	// rebuildAfter is the minimum interval between rebuilds of the rings because of changed
 	// residency.
--- a/internal/decision/quarantine/alive.go
+++ b/internal/decision/quarantine/alive.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// aliveWithin is how soon after a break an answer shows that the endpoint
-	// never stopped. A restart takes seconds.
+	// aliveWithin is how soon after a crash was recorded an answer proves that the endpoint did not
+	// stop. A restart takes seconds.
 	aliveWithin = time.Second
-	// maxRecentCrashes bounds the breaks that are remembered for it: a batch of a large
-	// engine.
+	// maxRecentCrashes bounds the crashes kept for this check per endpoint: the requests of one
+	// batch of a large engine.
 	maxRecentCrashes = 256
 )
 
-// recentCrash is a request whose endpoint may prove to be alive.
+// recentCrash is a request whose recorded crash may turn out to be none.
 type recentCrash struct {
 	fingerprint uint64
 	at          time.Time
 }
 
-// trackCrash remembers a crash for a while.
+// trackCrash keeps a crash until aliveWithin has passed.
 func (q *Quarantine) trackCrash(fingerprint uint64, crash Crash, now time.Time) {
 	for id, crashes := range q.recent {
 		if now.Sub(crashes[len(crashes)-1].at) > aliveWithin {
@@ -34,13 +34,13 @@
 	q.recentEndpoints.Store(int64(len(q.recent)))
 }
 
-// EndpointAnswered records that the endpoint has answered a request that was sent at that
-// time, and returns the requests that it cleared.
+// EndpointAnswered records that the endpoint answered a request sent at the given time, and returns
+// the fingerprints that this clears.
 //
-// Failure: an endpoint breaks off single answers and runs on. Symptom: whoever
-// meets two such breaks is refused for the whole term though it harms nobody.
-// What was sent after the break and answered before a restart could be over was
-// answered by the same process, so that nothing has crashed.
+// An endpoint can break off single answers and keep running. Without this check, a request that is
+// broken off twice is refused for the whole quarantine although it is harmless. What was sent after
+// the failure and answered before a restart could have finished was answered by the same process,
+// so nothing has crashed.
 func (q *Quarantine) EndpointAnswered(endpoint carawayspread.EndpointID, sent time.Time) []uint64 {
 	if q.recentEndpoints.Load() == 0 {
 		return nil
@@ -50,14 +50,14 @@
 	now := q.clock.Now()
 	var cleared []uint64
 	kept := q.recent[endpoint][:0]
-	for _, w := range q.recent[endpoint] {
+	for _, crash := range q.recent[endpoint] {
 		switch {
-		case now.Sub(w.at) > aliveWithin:
-		case w.at.Before(sent):
-			cleared = append(cleared, w.fingerprint)
-			q.withdraw(w.fingerprint, endpoint, now)
+		case now.Sub(crash.at) > aliveWithin:
+		case crash.at.Before(sent):
+			cleared = append(cleared, crash.fingerprint)
+			q.withdraw(crash.fingerprint, endpoint, now)
 		default:
-			kept = append(kept, w)
+			kept = append(kept, crash)
 		}
 	}
 	if q.recent[endpoint] = kept; len(kept) == 0 {
@@ -67,7 +67,7 @@
 	return cleared
 }
 
-// WithdrawCrash takes back a crash that another process found to be none.
+// WithdrawCrash removes a crash that another process found to be none.
 func (q *Quarantine) WithdrawCrash(fingerprint uint64, endpoint carawayspread.EndpointID) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/decision/quarantine/alive_test.go
+++ b/internal/decision/quarantine/alive_test.go
@@ -10,14 +10,14 @@
 	"carawayspread"
 )
 
-// Callers of a harmless request are refused for minutes: two endpoints break
-// off its answers and run on. An endpoint that answers what was sent after the
-// break, sooner than it could have started anew, has not crashed.
+// Two endpoints break off the answers to a harmless request and keep running; without the check its
+// callers are refused for minutes. An endpoint that answers a request sent after the failure,
+// sooner than it could have restarted, has not crashed.
 func TestAnsweringEndpointClearsRequests(t *testing.T) {
 	const fingerprint = 7
 	tests := map[string]struct {
-		answeredAfter time.Duration // from the second break to the answer
-		sentAfter     time.Duration // from the second break to the request that is answered
+		answeredAfter time.Duration // from the second failure to the answer
+		sentAfter     time.Duration // from the second failure to the sending of the answered request
 		endpoint      carawayspread.EndpointID
 		refused       bool
 	}{
@@ -43,8 +43,8 @@
 	}
 }
 
-// A request that crashes what runs it stays refused: another process clears it
-// at one endpoint, which had only broken off an answer, and it crashes two.
+// A request that crashes its endpoints must stay refused: another process withdraws the crash of
+// one endpoint, which had only broken off an answer, and the request crashes two others.
 func TestWithdrawnCrashLeavesOthers(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
 	q := New(clock)
@@ -67,7 +67,7 @@
 	qt.Check(t, q.Len(), qt.Equals, 0)
 }
 
-// Memory stays bounded by the breaks of the last second.
+// Memory must stay bounded by the crashes of the last second.
 func TestRecentCrashesAreBounded(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
 	q := New(clock)
--- a/internal/decision/quarantine/quarantine.go
+++ b/internal/decision/quarantine/quarantine.go
@@ -11,17 +11,16 @@
 )
 
 const (
-	// defaultDuration is how long a conviction and a suspicion last. It outlasts
-	// callers that send again, and ends by itself when a new version of the
-	// engine can run the request.
+	// defaultDuration is how long a request stays quarantined or suspect. It outlasts callers that
+	// resend, and ends by itself, since a new version of the engine may be able to run the request.
 	defaultDuration = 10 * time.Minute
 	// maxCrashedEndpoints is the number of endpoints that one request may crash.
 	maxCrashedEndpoints = 2
-	// sameCrashWindow merges the accounts that sidecar and entry give of one crash.
-	// An engine takes longer than this to start again.
+	// sameCrashWindow merges the reports of sidecar and entry about one crash. An engine takes
+	// longer than this to restart.
 	sameCrashWindow = 10 * time.Second
-	// maxRecords bounds the memory at about 200 bytes a fingerprint. A crash adds
-	// the requests of one batch.
+	// maxRecords bounds the memory, at about 200 bytes per fingerprint. A crash adds the requests
+	// of one batch.
 	maxRecords = 16384
 )
 
@@ -38,50 +37,49 @@
 // Attempt is a request that is about to be sent or run.
 type Attempt struct {
 	Fingerprint     uint64
-	OutsideAffinity bool // none of its own endpoints is available
+	OutsideAffinity bool // none of the endpoints that its fingerprint maps to is available
 	Claimed         bool // its trial is claimed for this attempt
-	// Endpoint is where a sidecar would run it; empty when an entry asks.
+	// Endpoint is where a sidecar would run it; empty for an entry.
 	Endpoint carawayspread.EndpointID
 }
 
-// Verdict tells what may be done with an attempt.
+// Verdict is the decision on an attempt.
 type Verdict int
 
 // Verdicts on attempts.
 const (
-	VerdictRun    Verdict = iota // run it as any other
+	VerdictRun    Verdict = iota // run it like any other
 	VerdictTrial                 // claim the trial first
 	VerdictRefuse                // refuse it; the error is final
 )
 
-// record is what is known of one fingerprint.
+// record is the state of one fingerprint.
 type record struct {
-	crashes          []Crash   // distinct, at most maxVictims
-	quarantinedUntil time.Time // end of the conviction; zero for suspects
-	expires          time.Time // when it is forgotten
+	crashes          []Crash   // distinct, at most maxCrashedEndpoints
+	quarantinedUntil time.Time // end of the quarantine; zero for suspects
+	expires          time.Time // when the record is dropped
 }
 
-// Quarantine is the memory that one process has of harmful requests. It is
-// safe for concurrent use.
+// Quarantine holds what one process knows of harmful requests. It is safe for concurrent use.
 type Quarantine struct {
 	clock    carawayspread.Clock
 	duration time.Duration
 
 	mu       sync.Mutex
 	records  *lru.LRU[uint64, *record]
-	recent   map[carawayspread.EndpointID][]recentCrash // breaks of the last aliveWithin; none empty
+	recent   map[carawayspread.EndpointID][]recentCrash // crashes of the last aliveWithin; no empty lists
 	refusals refusals
 
-	recentEndpoints atomic.Int64 // endpoints in recent
+	recentEndpoints atomic.Int64 // number of endpoints in recent, readable without the lock
 }
 
 // Option sets an optional part of a Quarantine.
 type Option func(*Quarantine)
 
-// Duration sets how long a conviction lasts.
+// Duration sets how long a request stays quarantined or suspect.
 func Duration(d time.Duration) Option { return func(q *Quarantine) { q.duration = d } }
 
-// New returns a quarantine that suspects nobody.
+// New returns a quarantine without suspects.
 func New(clock carawayspread.Clock, opts ...Option) *Quarantine {
 	records, err := lru.NewLRU[uint64, *record](maxRecords, nil)
 	if err != nil {
@@ -94,9 +92,8 @@
 	return q
 }
 
-// Decide tells what may be done with the attempt. An entry asks before it
-// sends, a sidecar before it runs; both must, since either may be the only one
-// that knows.
+// Decide returns what may be done with the attempt. An entry calls it before it sends, a sidecar
+// before it runs the request; both must, since either may be the only one that knows of a crash.
 func (q *Quarantine) Decide(attempt Attempt) (Verdict, *carawayspread.Error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -115,15 +112,14 @@
 	return VerdictRun, nil
 }
 
-// Refusal returns the final answer to a convicted request.
+// Refusal returns the final answer to a quarantined request; left is the rest of the quarantine.
 func Refusal(left time.Duration) *carawayspread.Error {
 	return carawayspread.NewError(carawayspread.CodeQuarantined, "the request crashed the endpoints that ran it",
 		carawayspread.NotRun(), carawayspread.RetryAfter(left))
 }
 
-// Crashed records that the endpoint crashed while the requests ran. The trial
-// is the fingerprint that ran there as a trial, if any. Reports whether the
-// trial is convicted by it.
+// Crashed records that the endpoint crashed while the given requests ran there. trial is the
+// fingerprint that ran as a trial, or nil; it is then the only one that this crash quarantines.
 func (q *Quarantine) Crashed(crash Crash, running []uint64, trial *uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -140,7 +136,7 @@
 	}
 }
 
-// Quarantined records what another process found.
+// Quarantined records that another process quarantined the request for the time left.
 func (q *Quarantine) Quarantined(fingerprint uint64, left time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -150,9 +146,9 @@
 	r.expires = later(r.expires, r.quarantinedUntil)
 }
 
-// Suspected records that the sidecar before the endpoint refused the request
-// as a suspect. An empty endpoint marks the request alone, which a sidecar does
-// before it runs a trial, so that no other copy starts beside it.
+// Suspected records that the sidecar of the endpoint refused the request as a suspect. An empty
+// endpoint marks only the request; a sidecar does so before it runs a trial, so that no other copy
+// starts at the same time.
 func (q *Quarantine) Suspected(fingerprint uint64, endpoint carawayspread.EndpointID) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -163,10 +159,9 @@
 	}
 }
 
-// CrashedEndpoints returns the endpoints that the request is known to have crashed. Its
-// trial must go to its other candidate: a copy may run there that nobody who
-// knows of the first crash has seen, and only that sidecar can keep the two
-// apart.
+// CrashedEndpoints returns the endpoints that the request is known to have crashed. Its trial must
+// go to its other candidate: a copy that was sent without knowledge of the first crash may run
+// there, and only that sidecar can keep the two apart.
 func (q *Quarantine) CrashedEndpoints(fingerprint uint64) []carawayspread.EndpointID {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -181,8 +176,8 @@
 	return ids
 }
 
-// Served clears a suspect that was answered, and reports whether a peer that refuses it
-// is to be told.
+// Served clears a suspect that was answered, and reports whether a peer that refuses the request
+// must be notified.
 func (q *Quarantine) Served(fingerprint uint64) (notify bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -193,7 +188,7 @@
 	return q.takePeerRefusal(fingerprint)
 }
 
-// Len returns the number of fingerprints that are remembered.
+// Len returns the number of fingerprints that are recorded.
 func (q *Quarantine) Len() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/decision/quarantine/refusals.go
+++ b/internal/decision/quarantine/refusals.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	// maxRefusals bounds the requests of which peers are asked, and those they ask of.
+	// maxRefusals bounds the requests refused here that peers are queried for, and those that peers
+	// query for.
 	maxRefusals = 64
-	// peerRefusalTTL is how long a question of a peer counts; it is repeated while the peer
-	// refuses the request.
+	// peerRefusalTTL is how long the query of a peer is valid; the peer repeats it while it refuses
+	// the request.
 	peerRefusalTTL = 3 * time.Second
 )
 
-// refusals are requests that are refused here, and those that peers refuse.
+// refusals are the requests that are refused here, and those that peers refuse.
 //
-// Failure: a process meets two breaks of one request at two endpoints of which it hears
-// nothing more. Symptom: it refuses the request for the whole term, while peers that
-// know of no break answer it. What crashes endpoints is never answered, so that an
-// answer anywhere clears it.
+// A process may record crashes of one request at two endpoints from which it gets no further
+// answer. Without this exchange it refuses the request for the whole quarantine, while peers that
+// know of no crash get answers for it. A request that crashes endpoints is never answered, so an
+// answer at any process clears it.
 type refusals struct {
 	own   *lru.LRU[uint64, struct{}]
-	peers *lru.LRU[uint64, time.Time] // when each was asked for last
+	peers *lru.LRU[uint64, time.Time] // when each was last reported as refused
 }
 
 func newRefusals() refusals {
@@ -37,8 +38,7 @@
 	return refusals{own: own, peers: peers}
 }
 
-// Refused returns the newest requests that are refused here, of which peers may know an
-// answer.
+// Refused returns the newest requests that are refused here for which a peer may have an answer.
 func (q *Quarantine) Refused() []uint64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -54,7 +54,7 @@
 	return refused
 }
 
-// RefusedByPeer takes what a peer refuses.
+// RefusedByPeer records requests that a peer refuses.
 func (q *Quarantine) RefusedByPeer(refused []uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -64,7 +64,8 @@
 	}
 }
 
-// takePeerRefusal reports whether a peer waits to hear of an answer, once for each question.
+// takePeerRefusal reports whether a peer waits for an answer to the request, and removes that
+// query, so that each is answered once.
 func (q *Quarantine) takePeerRefusal(fingerprint uint64) bool {
 	refusedAt, ok := q.refusals.peers.Peek(fingerprint)
 	if ok {
@@ -73,7 +74,7 @@
 	return ok && q.clock.Now().Sub(refusedAt) < peerRefusalTTL
 }
 
-// AnsweredByPeer takes note that the request was answered elsewhere.
+// AnsweredByPeer clears a request that was answered at another process.
 func (q *Quarantine) AnsweredByPeer(fingerprint uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/decision/quarantine/refusals_test.go
+++ b/internal/decision/quarantine/refusals_test.go
@@ -10,8 +10,8 @@
 	"carawayspread"
 )
 
-// Guards against a request that is refused for the whole term though a peer answers it,
-// and against peers that tell of every request.
+// Guards against a request that is refused for the whole quarantine although a peer gets answers
+// for it, and against peers that report every answered request.
 func TestAnswerOfPeerClears(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	refusing, answering := New(clock), New(clock)
@@ -33,7 +33,7 @@
 	qt.Check(t, refusing.Refused(), qt.HasLen, 0)
 }
 
-// What is asked of peers ends with the conviction, and is bounded.
+// The requests that peers are queried for must be bounded, and end with their quarantine.
 func TestRefusalsAreBounded(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	q := New(clock, Duration(time.Minute))
