--- a/internal/decision/fairqueue/shares.go
+++ b/internal/decision/fairqueue/shares.go
@@ -1,125 +1,125 @@
 package fairqueue
 
-// shares keeps the backlogged workspaces in the order in which they are
-// served. All calls take logarithmic time.
+// shares keeps the backlogged workspaces in the order in which they are served. All calls take
+// logarithmic time, apart from sweep.
 type shares struct {
-	flows   map[string]*flow
-	swept   int     // flows that the last sweep left
-	virtual float64 // the smallest tag of a backlogged flow; never falls
-	// window is how far, in work, an urgent workspace may run ahead of the one
-	// that received least.
+	flows           map[string]*flow
+	flowsAfterSweep int     // number of flows after the last sweep
+	virtualTime     float64 // smallest tag of a backlogged flow; never decreases
+	// window is how far, in seconds of work, an urgent workspace may get ahead of the least-served
+	// one.
 	window float64
-	// credit is how much unused share a workspace keeps.
+	// credit is how much unused share a workspace keeps, in seconds of work.
 	credit float64
 
-	tags     ordered[*flow] // all backlogged flows by tag
-	eligible ordered[*flow] // those within the window, the most urgent first
-	ahead    ordered[*flow] // those beyond the window, by tag
-	ends     ordered[*flow] // all backlogged flows, the largest end first
+	tags       indexedHeap[*flow] // all backlogged flows by tag
+	eligible   indexedHeap[*flow] // those within the window, the most urgent first
+	ineligible indexedHeap[*flow] // those beyond the window, by tag
+	ends       indexedHeap[*flow] // all backlogged flows, the largest end first
 }
 
 func newShares() *shares {
 	byTag := func(a, b *flow) bool { return a.tag < b.tag }
 	return &shares{
-		flows: map[string]*flow{},
-		tags:  ordered[*flow]{less: byTag, place: func(f *flow) *int { return &f.inTags }},
-		ahead: ordered[*flow]{less: byTag, place: func(f *flow) *int { return &f.inAhead }},
-		eligible: ordered[*flow]{
+		flows:      map[string]*flow{},
+		tags:       indexedHeap[*flow]{less: byTag, index: func(f *flow) *int { return &f.tagsIndex }},
+		ineligible: indexedHeap[*flow]{less: byTag, index: func(f *flow) *int { return &f.ineligibleIndex }},
+		eligible: indexedHeap[*flow]{
 			less:  func(a, b *flow) bool { return a.jobs.top().latest.Before(b.jobs.top().latest) },
-			place: func(f *flow) *int { return &f.inEligible },
+			index: func(f *flow) *int { return &f.eligibleIndex },
 		},
-		ends: ordered[*flow]{
+		ends: indexedHeap[*flow]{
 			less:  func(a, b *flow) bool { return a.end() > b.end() },
-			place: func(f *flow) *int { return &f.inEnds },
+			index: func(f *flow) *int { return &f.endsIndex },
 		},
 	}
 }
 
-// flow returns the queue of the workspace.
+// flow returns the queue of the workspace, creating it if necessary.
 func (s *shares) flow(workspace string) *flow {
 	f, ok := s.flows[workspace]
 	if !ok {
 		s.sweep()
 		f = newFlow(workspace)
-		f.tag = s.virtual
+		f.tag = s.virtualTime
 		s.flows[workspace] = f
 	}
 	return f
 }
 
-// sweep forgets workspaces that have nothing queued, running or owed. Its cost
-// is spread over the workspaces that came since the last one.
+// sweep removes workspaces that have nothing queued or running and whose tag is not ahead of the
+// virtual time. Its cost is amortised over the workspaces added since the previous sweep.
 func (s *shares) sweep() {
-	const few = 64
-	if len(s.flows) < 2*s.swept+few {
+	const minFlows = 64
+	if len(s.flows) < 2*s.flowsAfterSweep+minFlows {
 		return
 	}
 	for name, f := range s.flows {
-		if f.jobs.Len() == 0 && f.running == 0 && f.tag <= s.virtual {
+		if f.jobs.Len() == 0 && f.running == 0 && f.tag <= s.virtualTime {
 			delete(s.flows, name)
 		}
 	}
-	s.swept = len(s.flows)
+	s.flowsAfterSweep = len(s.flows)
 }
 
 func (s *shares) add(f *flow, i *item) {
 	if f.jobs.Len() == 0 {
-		f.tag = max(f.tag, s.virtual-s.credit)
+		f.tag = max(f.tag, s.virtualTime-s.credit)
 	}
 	f.add(i)
-	s.place(f)
+	s.reorder(f)
 }
 
 func (s *shares) remove(i *item) {
 	i.flow.remove(i)
-	s.place(i.flow)
+	s.reorder(i.flow)
 }
 
-// charge moves the tag of a flow by the work that it received, or got back.
+// charge adds work to the tag of a flow; negative work is a refund.
 func (s *shares) charge(f *flow, work float64) {
 	f.tag += work
 	if f.jobs.Len() > 0 {
-		s.place(f)
+		s.reorder(f)
 	}
 }
 
-// place puts a changed flow where it belongs in each heap.
-func (s *shares) place(f *flow) {
+// reorder updates the position of a changed flow in each heap.
+func (s *shares) reorder(f *flow) {
 	if f.jobs.Len() == 0 {
 		s.tags.remove(f)
 		s.eligible.remove(f)
-		s.ahead.remove(f)
+		s.ineligible.remove(f)
 		s.ends.remove(f)
 	} else {
 		s.tags.put(f)
 		s.ends.put(f)
-		s.admit(f)
+		s.updateEligibility(f)
 	}
 	s.advance()
 }
 
-func (s *shares) admit(f *flow) {
-	if f.tag > s.virtual+s.window {
+func (s *shares) updateEligibility(f *flow) {
+	if f.tag > s.virtualTime+s.window {
 		s.eligible.remove(f)
-		s.ahead.put(f)
+		s.ineligible.put(f)
 		return
 	}
-	s.ahead.remove(f)
+	s.ineligible.remove(f)
 	s.eligible.put(f)
 }
 
-// advance raises the virtual time and lets in the flows that it reached.
+// advance raises the virtual time and makes the flows eligible that the window then reaches.
 func (s *shares) advance() {
 	if s.tags.Len() == 0 {
 		return
 	}
-	s.virtual = max(s.virtual, s.tags.top().tag)
-	for s.ahead.Len() > 0 && s.ahead.top().tag <= s.virtual+s.window {
-		s.admit(s.ahead.top())
+	s.virtualTime = max(s.virtualTime, s.tags.top().tag)
+	for s.ineligible.Len() > 0 && s.ineligible.top().tag <= s.virtualTime+s.window {
+		s.updateEligibility(s.ineligible.top())
 	}
 }
 
-// next returns the most urgent job among the workspaces within the window.
+// next returns the most urgent job among the workspaces within the window, or nil.
 func (s *shares) next() *item {
 	if s.eligible.Len() == 0 {
 		return nil
@@ -127,5 +127,5 @@
 	return s.eligible.top().jobs.top()
 }
 
-// backlogged returns the number of workspaces that wait.
+// backlogged returns the number of workspaces with queued jobs.
 func (s *shares) backlogged() int { return s.tags.Len() }
--- a/internal/decision/hashrouter/router_test.go
+++ b/internal/decision/hashrouter/router_test.go
@@ -15,18 +15,18 @@
 func newTestRouter(seed uint64, ids ...carawayspread.EndpointID) (*Router, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	r := New(carawayspread.Environment{Clock: clock, Rand: rand.New(rand.NewPCG(seed, 1)), Zone: "a"})
-	r.SetEndpoints(list(ids...))
+	r.SetEndpoints(newEndpoints(ids...))
 	return r, clock
 }
 
-func list(ids ...carawayspread.EndpointID) (listed []carawayspread.Endpoint) {
+func newEndpoints(ids ...carawayspread.EndpointID) (listed []carawayspread.Endpoint) {
 	for _, id := range ids {
 		listed = append(listed, carawayspread.NewEndpoint(id, "llm", "a", "", false))
 	}
 	return listed
 }
 
-func without(out ...carawayspread.EndpointID) func(carawayspread.EndpointID) carawayspread.Availability {
+func freeExcept(out ...carawayspread.EndpointID) func(carawayspread.EndpointID) carawayspread.Availability {
 	return func(id carawayspread.EndpointID) carawayspread.Availability {
 		for _, o := range out {
 			if id == o {
@@ -37,9 +37,9 @@
 	}
 }
 
-// An engine that holds the model has reported, another has not yet. The first
-// one crashes: its callers must reach the other, since not known is not
-// absent, and where no holder is left any endpoint.
+// One engine has reported the model as resident and then crashes; the other has not reported its
+// models, or lacks the model. Callers must reach the other engine: unknown residency does not mean
+// that the model is absent, and when no holder is left any endpoint must do.
 func TestPickBeyondKnownHolders(t *testing.T) {
 	for name, models := range map[string][]string{"not known": nil, "known to lack it": {"other"}} {
 		t.Run(name, func(t *testing.T) {
@@ -49,16 +49,15 @@
 			clock.Advance(rebuildAfter)
 			r.Reported(carawayspread.EndpointReport{Endpoint: "e1", MeasuredAt: clock.Now(), Slots: 8, Models: []string{"m"}, Crashed: true})
 			for n := range uint64(100) {
-				choice := r.Pick(&carawayspread.Job{Model: "m", Prefix: n, Fingerprint: n}, without("e1"))
+				choice := r.Pick(&carawayspread.Job{Model: "m", Prefix: n, Fingerprint: n}, freeExcept("e1"))
 				qt.Assert(t, choice.Endpoint, qt.Equals, carawayspread.EndpointID("e2"))
 			}
 		})
 	}
 }
 
-// Many entries share reports of any age. Each fingerprint reaches two
-// endpoints through all of them, and prefixes stay on their first one while
-// the load is even.
+// Many entries share reports of different ages. Each fingerprint must reach at most two endpoints
+// through all of them.
 func TestTwoCandidates(t *testing.T) {
 	const endpoints, entries = 50, 10
 	var ids []carawayspread.EndpointID
@@ -77,7 +76,7 @@
 		reached := map[carawayspread.EndpointID]bool{}
 		for range 20 {
 			for _, r := range routers {
-				choice := r.Pick(&carawayspread.Job{Prefix: fingerprint % 7, Fingerprint: fingerprint}, without())
+				choice := r.Pick(&carawayspread.Job{Prefix: fingerprint % 7, Fingerprint: fingerprint}, freeExcept())
 				qt.Assert(t, choice.OutsideAffinity, qt.IsFalse)
 				reached[choice.Endpoint] = true
 			}
--- a/internal/decision/overload/crash_test.go
+++ b/internal/decision/overload/crash_test.go
@@ -137,7 +137,7 @@
 		if n.fleet.noQuarantine {
 			return choice.Endpoint, false, n.fleet.workers[choice.Endpoint].run(job, choice.Endpoint, false)
 		}
-		verdict, refusal := n.quarantine.Decide(quarantine.Attempt{Fingerprint: job.Fingerprint, Displaced: choice.OutsideAffinity})
+		verdict, refusal := n.quarantine.Decide(quarantine.Attempt{Fingerprint: job.Fingerprint, OutsideAffinity: choice.OutsideAffinity})
 		if refusal != nil {
 			return "", false, refusal
 		}
@@ -159,7 +159,7 @@
 	if refusal != nil {
 		return "", refusal
 	}
-	crashed = append(crashed, n.quarantine.Crashes(job.Fingerprint)...)
+	crashed = append(crashed, n.quarantine.CrashedEndpoints(job.Fingerprint)...)
 	choice := n.pick(job, crashed)
 	refusal = newRefusal(carawayspread.CodeSuspect)
 	if choice.Endpoint != "" && (!choice.OutsideAffinity || len(crashed) == 0) {
--- a/internal/decision/overload/simulation_test.go
+++ b/internal/decision/overload/simulation_test.go
@@ -402,7 +402,7 @@
 	for _, n := range sim.entries {
 		n.router.SetEndpoints(listed)
 		n.ejector.SetEndpoints(ids)
-		n.window.Fleet(slots, len(sim.entries))
+		n.window.SetCapacity(slots, len(sim.entries))
 		n.scheduler.Capacity(n.window.Size())
 		n.dispatch()
 	}
--- a/internal/decision/placement/replay_test.go
+++ b/internal/decision/placement/replay_test.go
@@ -12,8 +12,8 @@
 	"github.com/jonboulle/clockwork"
 
 	"carawayspread"
+	_ "carawayspread/internal/decision/baselineplacement"
 	_ "carawayspread/internal/decision/ejection"
-	_ "carawayspread/internal/decision/plainplacement"
 )
 
 // replay simulates a load with engines of a simple model: a prefill engine processes one prompt
--- a/internal/decision/quarantine/quarantine.go
+++ b/internal/decision/quarantine/quarantine.go
@@ -11,18 +11,17 @@
 )
 
 const (
-	// defaultTerm is how long a conviction and a suspicion last. It outlasts
-	// callers that send again, and ends by itself when a new version of the
-	// engine can run the request.
-	defaultTerm = 10 * time.Minute
-	// maxVictims is the number of endpoints that one request may crash.
-	maxVictims = 2
-	// sameCrash merges the accounts that sidecar and entry give of one crash.
-	// An engine takes longer than this to start again.
-	sameCrash = 10 * time.Second
-	// maxKnown bounds the memory at about 200 bytes a fingerprint. A crash adds
-	// the requests of one batch.
-	maxKnown = 16384
+	// defaultDuration is how long a request stays quarantined or suspect. It outlasts callers that
+	// resend, and ends by itself, since a new version of the engine may be able to run the request.
+	defaultDuration = 10 * time.Minute
+	// maxCrashedEndpoints is the number of endpoints that one request may crash.
+	maxCrashedEndpoints = 2
+	// sameCrashWindow merges the reports of sidecar and entry about one crash. An engine takes
+	// longer than this to restart.
+	sameCrashWindow = 10 * time.Second
+	// maxRecords bounds the memory, at about 200 bytes per fingerprint. A crash adds the requests
+	// of one batch.
+	maxRecords = 16384
 )
 
 // Crash is one crash of an endpoint.
@@ -32,98 +31,95 @@
 }
 
 func (c Crash) same(other Crash) bool {
-	return c.Endpoint == other.Endpoint && c.At.Sub(other.At).Abs() < sameCrash
+	return c.Endpoint == other.Endpoint && c.At.Sub(other.At).Abs() < sameCrashWindow
 }
 
 // Attempt is a request that is about to be sent or run.
 type Attempt struct {
-	Fingerprint uint64
-	Displaced   bool // none of its own endpoints is available
-	Claimed     bool // its trial is claimed for this attempt
-	// Endpoint is where a sidecar would run it; empty when an entry asks.
+	Fingerprint     uint64
+	OutsideAffinity bool // none of the endpoints that its fingerprint maps to is available
+	Claimed         bool // its trial is claimed for this attempt
+	// Endpoint is where a sidecar would run it; empty for an entry.
 	Endpoint carawayspread.EndpointID
 }
 
-// Verdict tells what may be done with an attempt.
+// Verdict is the decision on an attempt.
 type Verdict int
 
 // Verdicts on attempts.
 const (
-	VerdictRun    Verdict = iota // run it as any other
+	VerdictRun    Verdict = iota // run it like any other
 	VerdictTrial                 // claim the trial first
 	VerdictRefuse                // refuse it; the error is final
 )
 
-// record is what is known of one fingerprint.
+// record is the state of one fingerprint.
 type record struct {
-	crashes   []Crash   // distinct, at most maxVictims
-	convicted time.Time // end of the conviction; zero for suspects
-	ends      time.Time // when it is forgotten
+	crashes          []Crash   // distinct, at most maxCrashedEndpoints
+	quarantinedUntil time.Time // end of the quarantine; zero for suspects
+	expires          time.Time // when the record is dropped
 }
 
-// Quarantine is the memory that one process has of harmful requests. It is
-// safe for concurrent use.
+// Quarantine holds what one process knows of harmful requests. It is safe for concurrent use.
 type Quarantine struct {
-	clock carawayspread.Clock
-	term  time.Duration
+	clock    carawayspread.Clock
+	duration time.Duration
 
-	mu     sync.Mutex
-	known  *lru.LRU[uint64, *record]
-	recent map[carawayspread.EndpointID][]watched // breaks of the last aliveWithin; none empty
-	doubts doubts
+	mu       sync.Mutex
+	records  *lru.LRU[uint64, *record]
+	recent   map[carawayspread.EndpointID][]recentCrash // crashes of the last aliveWithin; no empty lists
+	refusals refusals
 
-	watching atomic.Int64 // endpoints in recent
+	recentEndpoints atomic.Int64 // number of endpoints in recent, readable without the lock
 }
 
 // Option sets an optional part of a Quarantine.
 type Option func(*Quarantine)
 
-// Term sets how long a conviction lasts.
-func Term(d time.Duration) Option { return func(q *Quarantine) { q.term = d } }
+// Duration sets how long a request stays quarantined or suspect.
+func Duration(d time.Duration) Option { return func(q *Quarantine) { q.duration = d } }
 
-// New returns a quarantine that suspects nobody.
+// New returns a quarantine without suspects.
 func New(clock carawayspread.Clock, opts ...Option) *Quarantine {
-	known, err := lru.NewLRU[uint64, *record](maxKnown, nil)
+	records, err := lru.NewLRU[uint64, *record](maxRecords, nil)
 	if err != nil {
 		panic(err) // the size is a constant
 	}
-	q := &Quarantine{clock: clock, term: defaultTerm, known: known, recent: map[carawayspread.EndpointID][]watched{}, doubts: newDoubts()}
+	q := &Quarantine{clock: clock, duration: defaultDuration, records: records, recent: map[carawayspread.EndpointID][]recentCrash{}, refusals: newRefusals()}
 	for _, opt := range opts {
 		opt(q)
 	}
 	return q
 }
 
-// Decide tells what may be done with the attempt. An entry asks before it
-// sends, a sidecar before it runs; both must, since either may be the only one
-// that knows.
+// Decide returns what may be done with the attempt. An entry calls it before it sends, a sidecar
+// before it runs the request; both must, since either may be the only one that knows of a crash.
 func (q *Quarantine) Decide(attempt Attempt) (Verdict, *carawayspread.Error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.clock.Now()
 	r := q.find(attempt.Fingerprint, now)
 	switch {
-	case r != nil && now.Before(r.convicted):
-		return VerdictRefuse, Refusal(r.convicted.Sub(now))
+	case r != nil && now.Before(r.quarantinedUntil):
+		return VerdictRefuse, Refusal(r.quarantinedUntil.Sub(now))
 	case attempt.Claimed && r != nil && r.crashed(attempt.Endpoint):
 		return VerdictTrial, nil
 	case attempt.Claimed:
 		return VerdictRun, nil
-	case r != nil || attempt.Displaced:
+	case r != nil || attempt.OutsideAffinity:
 		return VerdictTrial, nil
 	}
 	return VerdictRun, nil
 }
 
-// Refusal returns the final answer to a convicted request.
+// Refusal returns the final answer to a quarantined request; left is the rest of the quarantine.
 func Refusal(left time.Duration) *carawayspread.Error {
 	return carawayspread.NewError(carawayspread.CodeQuarantined, "the request crashed the endpoints that ran it",
 		carawayspread.NotRun(), carawayspread.RetryAfter(left))
 }
 
-// Crashed records that the endpoint crashed while the requests ran. The trial
-// is the fingerprint that ran there as a trial, if any. Reports whether the
-// trial is convicted by it.
+// Crashed records that the endpoint crashed while the given requests ran there. trial is the
+// fingerprint that ran as a trial, or nil; it is then the only one that this crash quarantines.
 func (q *Quarantine) Crashed(crash Crash, running []uint64, trial *uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -132,27 +128,27 @@
 		isTrial := trial != nil && *trial == fingerprint
 		r := q.suspect(fingerprint, now)
 		r.add(crash)
-		q.watch(fingerprint, crash, now)
-		if isTrial || trial == nil && len(r.crashes) >= maxVictims {
-			r.convicted = now.Add(q.term)
-			q.doubts.own.Add(fingerprint, struct{}{})
+		q.trackCrash(fingerprint, crash, now)
+		if isTrial || trial == nil && len(r.crashes) >= maxCrashedEndpoints {
+			r.quarantinedUntil = now.Add(q.duration)
+			q.refusals.own.Add(fingerprint, struct{}{})
 		}
 	}
 }
 
-// Convicted records what another process found.
-func (q *Quarantine) Convicted(fingerprint uint64, left time.Duration) {
+// Quarantined records that another process quarantined the request for the time left.
+func (q *Quarantine) Quarantined(fingerprint uint64, left time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.clock.Now()
 	r := q.suspect(fingerprint, now)
-	r.convicted = now.Add(left)
-	r.ends = later(r.ends, r.convicted)
+	r.quarantinedUntil = now.Add(left)
+	r.expires = later(r.expires, r.quarantinedUntil)
 }
 
-// Suspected records that the sidecar before the endpoint refused the request
-// as a suspect. An empty endpoint marks the request alone, which a sidecar does
-// before it runs a trial, so that no other copy starts beside it.
+// Suspected records that the sidecar of the endpoint refused the request as a suspect. An empty
+// endpoint marks only the request; a sidecar does so before it runs a trial, so that no other copy
+// starts at the same time.
 func (q *Quarantine) Suspected(fingerprint uint64, endpoint carawayspread.EndpointID) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -163,11 +159,10 @@
 	}
 }
 
-// Crashes returns the endpoints that the request is known to have crashed. Its
-// trial must go to its other candidate: a copy may run there that nobody who
-// knows of the first crash has seen, and only that sidecar can keep the two
-// apart.
-func (q *Quarantine) Crashes(fingerprint uint64) []carawayspread.EndpointID {
+// CrashedEndpoints returns the endpoints that the request is known to have crashed. Its trial must
+// go to its other candidate: a copy that was sent without knowledge of the first crash may run
+// there, and only that sidecar can keep the two apart.
+func (q *Quarantine) CrashedEndpoints(fingerprint uint64) []carawayspread.EndpointID {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	r := q.find(fingerprint, q.clock.Now())
@@ -181,32 +176,32 @@
 	return ids
 }
 
-// Served clears a suspect that was answered, and reports whether a peer that refuses it
-// is to be told.
-func (q *Quarantine) Served(fingerprint uint64) (tell bool) {
+// Served clears a suspect that was answered, and reports whether a peer that refuses the request
+// must be notified.
+func (q *Quarantine) Served(fingerprint uint64) (notify bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	r := q.find(fingerprint, q.clock.Now())
-	if r != nil && r.convicted.IsZero() {
-		q.known.Remove(fingerprint)
+	if r != nil && r.quarantinedUntil.IsZero() {
+		q.records.Remove(fingerprint)
 	}
-	return q.doubted(fingerprint)
+	return q.takePeerRefusal(fingerprint)
 }
 
-// Len returns the number of fingerprints that are remembered.
+// Len returns the number of fingerprints that are recorded.
 func (q *Quarantine) Len() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.known.Len()
+	return q.records.Len()
 }
 
 func (q *Quarantine) find(fingerprint uint64, now time.Time) *record {
-	r, ok := q.known.Get(fingerprint)
+	r, ok := q.records.Get(fingerprint)
 	if !ok {
 		return nil
 	}
-	if now.After(r.ends) {
-		q.known.Remove(fingerprint)
+	if now.After(r.expires) {
+		q.records.Remove(fingerprint)
 		return nil
 	}
 	return r
@@ -216,9 +211,9 @@
 	r := q.find(fingerprint, now)
 	if r == nil {
 		r = &record{}
-		q.known.Add(fingerprint, r)
+		q.records.Add(fingerprint, r)
 	}
-	r.ends = later(r.ends, now.Add(q.term))
+	r.expires = later(r.expires, now.Add(q.duration))
 	return r
 }
 
@@ -228,7 +223,7 @@
 			return
 		}
 	}
-	if len(r.crashes) < maxVictims {
+	if len(r.crashes) < maxCrashedEndpoints {
 		r.crashes = append(r.crashes, crash)
 	}
 }
