--- a/internal/connection/peers/doubt.go
+++ b/internal/connection/peers/doubt.go
@@ -9,8 +9,8 @@
 	mostDoubts = 64
 )
 
-// Doubter is what refuses requests that peers may have answered.
-type Doubter interface {
+// RefusalTracker is what refuses requests that peers may have answered.
+type RefusalTracker interface {
 	// Refused returns the requests that are refused here.
 	Refused() []uint64
 	// RefusedByPeer takes what a peer refuses.
@@ -26,11 +26,11 @@
 	refused, answered []uint64
 }
 
-// Doubt sets whose doubts are told. It is called before Run and Receive.
-func (s *Socket) Doubt(d Doubter) { s.doubter = d }
+// SetRefusalTracker sets whose doubts are told. It is called before Run and Receive.
+func (s *Socket) SetRefusalTracker(d RefusalTracker) { s.doubter = d }
 
-// Answered tells all peers that a request was answered which one of them refuses.
-func (s *Socket) Answered(fingerprint uint64) {
+// BroadcastAnswered tells all peers that a request was answered which one of them refuses.
+func (s *Socket) BroadcastAnswered(fingerprint uint64) {
 	s.mu.Lock()
 	to := s.heardLocked()
 	s.mu.Unlock()
--- a/internal/connection/peers/doubt_test.go
+++ b/internal/connection/peers/doubt_test.go
@@ -29,7 +29,7 @@
 
 func (d *doubter) RefusedByPeer(refused []uint64) {
 	for _, fingerprint := range refused {
-		d.socket.Answered(fingerprint)
+		d.socket.BroadcastAnswered(fingerprint)
 	}
 }
 
@@ -50,8 +50,8 @@
 		qt.Assert(t, err, qt.IsNil)
 		t.Cleanup(s.Close)
 		d := &doubter{socket: s}
-		s.Present(func() carawayspread.PeerStatus { return carawayspread.PeerStatus{Zone: "z"} })
-		s.Doubt(d)
+		s.SetStatusFunc(func() carawayspread.PeerStatus { return carawayspread.PeerStatus{Zone: "z"} })
+		s.SetRefusalTracker(d)
 		doubters, seeds = append(doubters, d), []string{s.Address()}
 	}
 	doubters[0].refuses = []uint64{7}
--- a/internal/connection/peers/feedback.go
+++ b/internal/connection/peers/feedback.go
@@ -15,15 +15,15 @@
 	mostRate = 1_000_000
 )
 
-// Feedback is what an answer to the sender says of its endpoint.
-type Feedback struct {
+// EndpointFeedback is what an answer to the sender says of its endpoint.
+type EndpointFeedback struct {
 	Endpoint carawayspread.EndpointID
-	Says     carawayspread.Feedback
+	Feedback     carawayspread.Feedback
 }
 
-// TellFeedback queues what an answer says of its endpoint for all peers. It does not
+// BroadcastFeedback queues what an answer says of its endpoint for all peers. It does not
 // block.
-func (s *Socket) TellFeedback(id carawayspread.EndpointID, f carawayspread.Feedback) {
+func (s *Socket) BroadcastFeedback(id carawayspread.EndpointID, f carawayspread.Feedback) {
 	s.mu.Lock()
 	s.feedback[id] = f
 	s.mu.Unlock()
@@ -32,28 +32,28 @@
 
 // takeFeedbackLocked removes and returns what fits into one message; what is left is
 // sent after it.
-func (s *Socket) takeFeedbackLocked() []Feedback {
-	var taken []Feedback
+func (s *Socket) takeFeedbackLocked() []EndpointFeedback {
+	var taken []EndpointFeedback
 	for id, f := range s.feedback {
 		if len(taken) == mostFeedback {
 			s.rouse()
 			break
 		}
-		taken = append(taken, Feedback{id, f})
+		taken = append(taken, EndpointFeedback{id, f})
 		delete(s.feedback, id)
 	}
 	return taken
 }
 
-func appendFeedback(b []byte, f Feedback) []byte {
+func appendFeedback(b []byte, f EndpointFeedback) []byte {
 	b = appendText(b, string(f.Endpoint))
-	b = append(b, flag(f.Says.Limited), flag(f.Says.Draining))
-	return binary.AppendUvarint(b, uint64(min(mostRate, f.Says.Rate)/rateUnit))
+	b = append(b, flag(f.Feedback.Limited), flag(f.Feedback.Draining))
+	return binary.AppendUvarint(b, uint64(min(mostRate, f.Feedback.Rate)/rateUnit))
 }
 
-func (r *reader) feedback() Feedback {
-	return Feedback{
+func (r *reader) feedback() EndpointFeedback {
+	return EndpointFeedback{
 		Endpoint: carawayspread.EndpointID(r.text()),
-		Says:     carawayspread.Feedback{Limited: r.flag(), Draining: r.flag(), Rate: float64(r.count(mostRate/rateUnit)) * rateUnit},
+		Feedback:     carawayspread.Feedback{Limited: r.flag(), Draining: r.flag(), Rate: float64(r.count(mostRate/rateUnit)) * rateUnit},
 	}
 }
--- a/internal/connection/peers/heartbeat.go
+++ b/internal/connection/peers/heartbeat.go
@@ -14,10 +14,10 @@
 	named = 6
 )
 
-// Share returns how many processes there are, this one included: as many as it
+// FleetSize returns how many processes there are, this one included: as many as it
 // hears, or as any of them does. One that has just started hears few for a second,
 // and would take more than its share of what is allowed to all.
-func (s *Socket) Share() int {
+func (s *Socket) FleetSize() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := s.fleetLocked()
@@ -38,9 +38,9 @@
 	return n
 }
 
-// Fleet returns what this process drew at its start, and the same of all processes that
+// Membership returns what this process drew at its start, and the same of all processes that
 // are heard, itself included.
-func (s *Socket) Fleet() (self uint64, all []uint64) {
+func (s *Socket) Membership() (self uint64, all []uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
@@ -53,9 +53,9 @@
 	return s.id, all
 }
 
-// Present sets what returns how this process stands, which each heartbeat states.
+// SetStatusFunc sets what returns how this process stands, which each heartbeat states.
 // It is called before Run.
-func (s *Socket) Present(presence func() carawayspread.PeerStatus) { s.presence = presence }
+func (s *Socket) SetStatusFunc(presence func() carawayspread.PeerStatus) { s.presence = presence }
 
 // Announce tells the peers of the own zone and the largest of each other zone how this
 // process stands.
--- a/internal/connection/peers/message.go
+++ b/internal/connection/peers/message.go
@@ -41,7 +41,7 @@
 	notices []carawayspread.LoadUpdate
 	crashes []Crash
 	// feedback is the newest of some endpoints.
-	feedback []Feedback
+	feedback []EndpointFeedback
 	known    []netip.AddrPort // other peers that the sender hears
 	// presence is how the sender stands; nil in messages of placements alone.
 	presence *carawayspread.PeerStatus
--- a/internal/connection/peers/peers_test.go
+++ b/internal/connection/peers/peers_test.go
@@ -20,10 +20,10 @@
 		sender: 7, address: netip.MustParseAddrPort("10.0.0.1:99"),
 		notices: []carawayspread.LoadUpdate{{EndpointHash: 1, Running: 2, Tokens: 3, PrefillTime: 4 * time.Millisecond, PrefillTokens: 5, PrefixHashes: []uint64{6, 7}, SuspendedFor: 12 * time.Second, PrefillDelay: -3 * time.Millisecond}, {EndpointHash: 8}},
 		crashes: []Crash{{Fingerprint: 9, Endpoint: "w"}, {Fingerprint: 8, Endpoint: "v", Withdrawn: true}},
-		feedback: []Feedback{
-			{Endpoint: "i-1", Says: carawayspread.Feedback{Limited: true, Rate: 2.25}},
+		feedback: []EndpointFeedback{
+			{Endpoint: "i-1", Feedback: carawayspread.Feedback{Limited: true, Rate: 2.25}},
 			{Endpoint: "i-2"},
-			{Endpoint: "i-3", Says: carawayspread.Feedback{Draining: true}},
+			{Endpoint: "i-3", Feedback: carawayspread.Feedback{Draining: true}},
 		},
 		known: []netip.AddrPort{netip.MustParseAddrPort("10.0.0.2:99")},
 		presence: &carawayspread.PeerStatus{Zone: "z", Capacity: 1 << 31, CanReadStore: true, FleetSize: 68, Resources: [carawayspread.ResourceCount]carawayspread.ResourceStatus{
@@ -75,11 +75,11 @@
 	present map[string]carawayspread.PeerStatus
 	// statements and acks are what peers counted and acknowledged.
 	statements []carawayspread.UsageStatement
-	feedback   []Feedback
+	feedback   []EndpointFeedback
 	acks       []int64
 }
 
-func (r *receiver) Heard(from string, notices []carawayspread.LoadUpdate) {
+func (r *receiver) ApplyLoadUpdates(from string, notices []carawayspread.LoadUpdate) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.heard == nil {
@@ -88,7 +88,7 @@
 	r.heard[from] = append(r.heard[from], notices...)
 }
 
-func (r *receiver) Presents(_ uint64, address string, p carawayspread.PeerStatus) {
+func (r *receiver) ApplyPeerStatus(_ uint64, address string, p carawayspread.PeerStatus) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.present == nil {
@@ -97,9 +97,9 @@
 	r.present[address] = p
 }
 
-func (r *receiver) Crashed(Crash) {}
+func (r *receiver) RecordCrash(Crash) {}
 
-func (r *receiver) FeedbackHeard(f Feedback) {
+func (r *receiver) ApplyPeerFeedback(f EndpointFeedback) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.feedback = append(r.feedback, f)
@@ -139,7 +139,7 @@
 	t.Helper()
 	s, err := Listen("127.0.0.1:0", seeds, carawayspread.SystemClock())
 	qt.Assert(t, err, qt.IsNil)
-	s.Present(func() carawayspread.PeerStatus { return presence })
+	s.SetStatusFunc(func() carawayspread.PeerStatus { return presence })
 	r := &receiver{}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -165,13 +165,13 @@
 func TestPeersFindEachOther(t *testing.T) {
 	first, atFirst := start(t)
 	second, _ := start(t, first.Address())
-	first.Tell(carawayspread.LoadUpdate{EndpointHash: 5, Running: 3})
+	first.Broadcast(carawayspread.LoadUpdate{EndpointHash: 5, Running: 3})
 	third, atThird := start(t, first.Address())
 	for _, s := range []*Socket{first, second, third} {
-		until(t, func() bool { return s.Share() == 3 })
+		until(t, func() bool { return s.FleetSize() == 3 })
 	}
 	until(t, func() bool { return atThird.knows(5, 3) })
-	second.Tell(carawayspread.LoadUpdate{EndpointHash: 6, Running: 1})
+	second.Broadcast(carawayspread.LoadUpdate{EndpointHash: 6, Running: 1})
 	until(t, func() bool { return atFirst.knows(6, 1) && atThird.knows(6, 1) })
 }
 
@@ -181,7 +181,7 @@
 	first, atFirst := start(t)
 	presence := carawayspread.PeerStatus{Capacity: 7, CanReadStore: true}
 	second, _ := startAs(t, presence, first.Address())
-	until(t, func() bool { return first.Share() == 2 && second.Share() == 2 })
+	until(t, func() bool { return first.FleetSize() == 2 && second.FleetSize() == 2 })
 	second.Announce()
 	until(t, func() bool {
 		atFirst.mu.Lock()
@@ -223,7 +223,7 @@
 	qt.Check(t, forward, qt.HasLen, 1)
 
 	// Heartbeats repeat what runs, not what a placement brings.
-	sockets[0].Tell(carawayspread.LoadUpdate{EndpointHash: 9, Running: 4, PrefillTime: time.Second})
+	sockets[0].Broadcast(carawayspread.LoadUpdate{EndpointHash: 9, Running: 4, PrefillTime: time.Second})
 	for _, r := range heard[1:] {
 		until(t, func() bool {
 			r.mu.Lock()
@@ -262,10 +262,10 @@
 func TestLongMessageIsParted(t *testing.T) {
 	first, atFirst := start(t)
 	second, _ := start(t, first.Address())
-	until(t, func() bool { return second.Share() == 2 })
+	until(t, func() bool { return second.FleetSize() == 2 })
 	const many = 500
 	for n := range many {
-		second.Tell(carawayspread.LoadUpdate{EndpointHash: uint32(n), Running: 1, PrefixHashes: []uint64{1, 2, 3}})
+		second.Broadcast(carawayspread.LoadUpdate{EndpointHash: uint32(n), Running: 1, PrefixHashes: []uint64{1, 2, 3}})
 	}
 	until(t, func() bool { return atFirst.knows(0, 1) && atFirst.knows(many-1, 1) })
 }
--- a/internal/connection/peers/receive.go
+++ b/internal/connection/peers/receive.go
@@ -40,14 +40,14 @@
 	}
 	s.note(m)
 	if m.presence != nil {
-		r.Presents(m.sender, m.address.String(), *m.presence)
+		r.ApplyPeerStatus(m.sender, m.address.String(), *m.presence)
 	}
-	r.Heard(strconv.FormatUint(m.sender, 36), m.notices)
+	r.ApplyLoadUpdates(strconv.FormatUint(m.sender, 36), m.notices)
 	for _, c := range m.crashes {
-		r.Crashed(c)
+		r.RecordCrash(c)
 	}
 	for _, f := range m.feedback {
-		r.FeedbackHeard(f)
+		r.ApplyPeerFeedback(f)
 	}
 	s.receiveUsage(m, r)
 }
--- a/internal/connection/peers/socket.go
+++ b/internal/connection/peers/socket.go
@@ -36,14 +36,14 @@
 
 // Receiver takes what peers tell.
 type Receiver interface {
-	// Heard takes the placements of a peer.
-	Heard(from string, notices []carawayspread.LoadUpdate)
-	// Presents takes how the peer at that address stands.
-	Presents(id uint64, address string, s carawayspread.PeerStatus)
-	// Crashed takes a request that broke an endpoint.
-	Crashed(Crash)
-	// FeedbackHeard takes what an answer to a peer says of its endpoint.
-	FeedbackHeard(Feedback)
+	// ApplyLoadUpdates takes the placements of a peer.
+	ApplyLoadUpdates(from string, notices []carawayspread.LoadUpdate)
+	// ApplyPeerStatus takes how the peer at that address stands.
+	ApplyPeerStatus(id uint64, address string, s carawayspread.PeerStatus)
+	// RecordCrash takes a request that broke an endpoint.
+	RecordCrash(Crash)
+	// ApplyPeerFeedback takes what an answer to a peer says of its endpoint.
+	ApplyPeerFeedback(EndpointFeedback)
 	// UsageReceived takes what a peer counted, and reports whether all of it is known now.
 	UsageReceived(carawayspread.UsageStatement) bool
 	// Acknowledged takes note that a peer knows all that this process counted in a
@@ -71,7 +71,7 @@
 	passes chan struct{}
 	// presence returns how this process stands.
 	presence func() carawayspread.PeerStatus
-	doubter  Doubter // nil where nothing is refused
+	doubter  RefusalTracker // nil where nothing is refused
 
 	mu      sync.Mutex
 	pending []carawayspread.LoadUpdate
@@ -136,8 +136,8 @@
 // Listener returns the socket for peers' connections.
 func (s *Socket) Listener() net.Listener { return s.tcp }
 
-// Known returns the addresses at which peers are or may be.
-func (s *Socket) Known() []string {
+// PeerAddresses returns the addresses at which peers are or may be.
+func (s *Socket) PeerAddresses() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	to := s.heardLocked()
@@ -154,8 +154,8 @@
 // Address returns IP number and port.
 func (s *Socket) Address() string { return s.self.String() }
 
-// Tell queues a notice for all peers. It does not block.
-func (s *Socket) Tell(n carawayspread.LoadUpdate) {
+// Broadcast queues a notice for all peers. It does not block.
+func (s *Socket) Broadcast(n carawayspread.LoadUpdate) {
 	s.mu.Lock()
 	s.counts[n.EndpointHash] = carawayspread.LoadUpdate{EndpointHash: n.EndpointHash, Running: n.Running, Tokens: n.Tokens}
 	if len(s.pending) < waiting && len(s.peers) > 0 {
@@ -165,8 +165,8 @@
 	s.rouse()
 }
 
-// Crashed queues a crash for all peers.
-func (s *Socket) Crashed(c Crash) {
+// BroadcastCrash queues a crash for all peers.
+func (s *Socket) BroadcastCrash(c Crash) {
 	s.mu.Lock()
 	if len(s.crashes) < waiting {
 		s.crashes = append(s.crashes, c)
--- a/internal/daemon/gatewayd/daemon.go
+++ b/internal/daemon/gatewayd/daemon.go
@@ -112,23 +112,23 @@
 	}
 	d.trueTime = truetime.New(clock, ports.StoreTime.Now)
 	d.placer = newPlacer(carawayspread.Environment{
-		Clock: clock, Zone: s.Zone(), Broadcast: d.peers.Tell,
+		Clock: clock, Zone: s.Zone(), Broadcast: d.peers.Broadcast,
 		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 	d.gateway = gateway.New(ports.Exchange, ports.Protocol, d.placer, clock, d.lines,
 		gateway.WithConfigFreshness(evidence{d}, s.Revoked(), s.Terms().InForce),
 		gateway.WithUsage(d.began),
-		gateway.WithRetryBudget(s.Budget(), d.peers.Share),
-		gateway.WithFeedback(d.peers.TellFeedback, d.peers.Fleet),
+		gateway.WithRetryBudget(s.Budget(), d.peers.FleetSize),
+		gateway.WithFeedback(d.peers.BroadcastFeedback, d.peers.Membership),
 		gateway.WithListAge(func() time.Duration {
 			age, _ := d.rota.Age(carawayspread.ResourceEndpoints)
 			return age
 		}),
 		gateway.WithCrashReporter(func(fingerprint uint64, id carawayspread.EndpointID, withdrawn bool) {
-			d.peers.Crashed(peers.Crash{Fingerprint: fingerprint, Endpoint: string(id), Withdrawn: withdrawn})
+			d.peers.BroadcastCrash(peers.Crash{Fingerprint: fingerprint, Endpoint: string(id), Withdrawn: withdrawn})
 		}),
-		gateway.WithAnswerReporter(d.peers.Answered))
-	d.peers.Doubt(d.gateway)
+		gateway.WithAnswerReporter(d.peers.BroadcastAnswered))
+	d.peers.SetRefusalTracker(d.gateway)
 	d.keep(ports)
 	d.follow(ports)
 	d.account(ports)
@@ -142,8 +142,8 @@
 	s := d.settings
 	d.rota = readers.New(d.peers.ID(), s.Zone(), s.Capacity(), s.Terms(), d.clock)
 	d.follower = follower.New(ports.Source(d), d.rota, s.Zone(), s.Capacity(), d.peers.Announce, d.clock, ports.StoreTime)
-	d.peers.Present(d.presence)
-	d.learner = knowledge.New(d.follower, d.peers.Known, d.clock, d.log, d.gateway.Metrics(),
+	d.peers.SetStatusFunc(d.presence)
+	d.learner = knowledge.New(d.follower, d.peers.PeerAddresses, d.clock, d.log, d.gateway.Metrics(),
 		knowledge.WithStoreTime(ports.Uptime, ports.StoreTime.Observe))
 	d.gateway.Metrics().NewGauge("gateway_reads_store", func() float64 {
 		if d.rota.Reads() {
@@ -177,24 +177,24 @@
 	return p
 }
 
-// Heard takes the placements of a peer.
-func (d *Daemon) Heard(from string, notices []carawayspread.LoadUpdate) {
+// ApplyLoadUpdates takes the placements of a peer.
+func (d *Daemon) ApplyLoadUpdates(from string, notices []carawayspread.LoadUpdate) {
 	d.placer.ApplyLoadUpdates(from, notices)
 }
 
-// Presents takes how a peer stands.
-func (d *Daemon) Presents(id uint64, address string, s carawayspread.PeerStatus) {
+// ApplyPeerStatus takes how a peer stands.
+func (d *Daemon) ApplyPeerStatus(id uint64, address string, s carawayspread.PeerStatus) {
 	d.follower.Heard(id, address, s)
 	d.trueTime.Heard(id, s.StoreEpoch)
 }
 
-// Crashed takes a request that broke an endpoint before a peer.
-func (d *Daemon) Crashed(c peers.Crash) {
+// RecordCrash takes a request that broke an endpoint before a peer.
+func (d *Daemon) RecordCrash(c peers.Crash) {
 	d.gateway.RecordCrash(c.Fingerprint, carawayspread.EndpointID(c.Endpoint), c.Withdrawn)
 }
 
-// FeedbackHeard takes what an answer to a peer says of its endpoint.
-func (d *Daemon) FeedbackHeard(f peers.Feedback) { d.gateway.ApplyPeerFeedback(f.Endpoint, f.Says) }
+// ApplyPeerFeedback takes what an answer to a peer says of its endpoint.
+func (d *Daemon) ApplyPeerFeedback(f peers.EndpointFeedback) { d.gateway.ApplyPeerFeedback(f.Endpoint, f.Feedback) }
 
 // keep prepares changes of roles, where the policy makes some and the placer
 // knows what it needs.
