--- a/cmd/gateway/configuration_test.go
+++ b/cmd/gateway/configuration_test.go
@@ -135,7 +135,7 @@
 	t.Helper()
 	begun := time.Now()
 	for p.sink.holds() != want {
-		_ = p.learner.Ask(context.Background(), other.link.Address(), carawayspread.ResourceRoutes)
+		_ = p.learner.Pull(context.Background(), other.link.Address(), carawayspread.ResourceRoutes)
 		if p.sink.holds() != want {
 			qt.Assert(t, time.Since(begun) < within, qt.IsTrue, qt.Commentf("not in force after %v, %d bytes", time.Since(begun), other.link.Answered()))
 		}
--- a/internal/connection/knowledge/learner.go
+++ b/internal/connection/knowledge/learner.go
@@ -155,14 +155,14 @@
 	return slices.Contains(learnt[:], true) && errors.Join(errs[:]...) == nil
 }
 
-// Ask has one peer hand on what is newer of a matter.
-func (l *Learner) Ask(ctx context.Context, peer string, of carawayspread.Resource) error {
+// Pull has one peer hand on what is newer of a matter.
+func (l *Learner) Pull(ctx context.Context, peer string, of carawayspread.Resource) error {
 	_, err := l.learn(ctx, peer, of)
 	return err
 }
 
-// AskTime has a peer bound the store's steady clock, and hands nothing else on.
-func (l *Learner) AskTime(ctx context.Context, peer string) error {
+// PullStoreTime has a peer bound the store's steady clock, and hands nothing else on.
+func (l *Learner) PullStoreTime(ctx context.Context, peer string) error {
 	_, err := l.newer(ctx, peer, storeTime, &NewerRequest{Routes: math.MaxUint64, List: math.MaxUint64})
 	return err
 }
@@ -184,7 +184,7 @@
 		asked = l.uptime.Uptime()
 	}
 	begun := l.clock.Now()
-	way := transfer.New(transfer.Bounds{Connect: connectTime, Silence: silence, Whole: wholeTime, Bytes: answerLimit})
+	way := transfer.New(transfer.Limits{ConnectTimeout: connectTime, IdleTimeout: silence, TotalTimeout: wholeTime, MaxBytes: answerLimit})
 	got, err := NewKnowledgeProtobufClient("http://"+peer, way.Client()).Newer(ctx, req)
 	received, took := way.Received(), l.clock.Now().Sub(begun)
 	l.bytes.AddInt64(received)
--- a/internal/connection/knowledge/learner_test.go
+++ b/internal/connection/knowledge/learner_test.go
@@ -113,7 +113,7 @@
 func TestWholeListWhereChangesDoNotFit(t *testing.T) {
 	knows := &holder{known: carawayspread.Knowledge{Endpoints: document(20, "list")}, whole: true}
 	h := &holder{known: carawayspread.Knowledge{Endpoints: document(5, "old")}, whole: true}
-	qt.Assert(t, learner(h).Ask(context.Background(), serve(t, knows), carawayspread.ResourceEndpoints), qt.IsNil)
+	qt.Assert(t, learner(h).Pull(context.Background(), serve(t, knows), carawayspread.ResourceEndpoints), qt.IsNil)
 	qt.Check(t, string(h.known.Endpoints.Body), qt.Equals, "list")
 }
 
@@ -161,7 +161,7 @@
 	h := &holder{}
 	l := learner(h)
 	for of := range carawayspread.ResourceCount {
-		qt.Assert(t, l.Ask(context.Background(), strings.TrimPrefix(server.URL, "http://"), of), qt.IsNil)
+		qt.Assert(t, l.Pull(context.Background(), strings.TrimPrefix(server.URL, "http://"), of), qt.IsNil)
 	}
 	qt.Check(t, h.known, qt.DeepEquals, known)
 
@@ -200,10 +200,10 @@
 			t.Cleanup(server.Close)
 			h := &holder{known: carawayspread.Knowledge{Routes: document(7, "routes")}}
 			l := learner(h)
-			qt.Check(t, l.Ask(context.Background(), strings.TrimPrefix(server.URL, "http://"), carawayspread.ResourceRoutes), qt.IsNotNil)
+			qt.Check(t, l.Pull(context.Background(), strings.TrimPrefix(server.URL, "http://"), carawayspread.ResourceRoutes), qt.IsNotNil)
 			qt.Check(t, string(h.known.Routes.Body), qt.Equals, "routes")
 			knows := &holder{known: carawayspread.Knowledge{Routes: document(9, "newer")}}
-			qt.Check(t, l.Ask(context.Background(), serve(t, knows), carawayspread.ResourceRoutes), qt.IsNil)
+			qt.Check(t, l.Pull(context.Background(), serve(t, knows), carawayspread.ResourceRoutes), qt.IsNil)
 			qt.Check(t, string(h.known.Routes.Body), qt.Equals, "newer")
 		})
 	}
--- a/internal/connection/peers/feedback.go
+++ b/internal/connection/peers/feedback.go
@@ -18,7 +18,7 @@
 // EndpointFeedback is what an answer to the sender says of its endpoint.
 type EndpointFeedback struct {
 	Endpoint carawayspread.EndpointID
-	Feedback     carawayspread.Feedback
+	Feedback carawayspread.Feedback
 }
 
 // BroadcastFeedback queues what an answer says of its endpoint for all peers. It does not
@@ -54,6 +54,6 @@
 func (r *reader) feedback() EndpointFeedback {
 	return EndpointFeedback{
 		Endpoint: carawayspread.EndpointID(r.text()),
-		Feedback:     carawayspread.Feedback{Limited: r.flag(), Draining: r.flag(), Rate: float64(r.count(mostRate/rateUnit)) * rateUnit},
+		Feedback: carawayspread.Feedback{Limited: r.flag(), Draining: r.flag(), Rate: float64(r.count(mostRate/rateUnit)) * rateUnit},
 	}
 }
--- a/internal/connection/sidecarhttp/client.go
+++ b/internal/connection/sidecarhttp/client.go
@@ -37,8 +37,8 @@
 	Header    http.Header
 	Body      []byte
 	Remaining time.Duration // for the first byte; not positive: not stated
-	// Once forbids the transport to send the request a second time by itself.
-	Once bool
+	// AtMostOnce forbids the transport to send the request a second time by itself.
+	AtMostOnce bool
 }
 
 // Answer is what an endpoint answers. Its body returns io.EOF only when the
@@ -120,7 +120,7 @@
 }
 
 func (c *Client) transport(a Attempt) *http.Transport {
-	if a.Once {
+	if a.AtMostOnce {
 		return c.fresh
 	}
 	return c.shared
--- a/internal/connection/transfer/transfer.go
+++ b/internal/connection/transfer/transfer.go
@@ -20,26 +20,26 @@
 // ErrTooLarge says that a peer sends more than was agreed on.
 var ErrTooLarge = errors.New("the answer is larger than the limit")
 
-// Bounds are what ends a transfer early.
-type Bounds struct {
-	Connect time.Duration // for the connection
-	Silence time.Duration // without a byte
-	Whole   time.Duration // by which nobody waits for the answer any more
-	Bytes   int64         // of the answer, its header included
+// Limits are what ends a transfer early.
+type Limits struct {
+	ConnectTimeout time.Duration // for the connection
+	IdleTimeout    time.Duration // without a byte
+	TotalTimeout   time.Duration // by which nobody waits for the answer any more
+	MaxBytes       int64         // of the answer, its header included
 }
 
 // Transfer is one answer. It is safe for concurrent use.
 type Transfer struct {
-	bounds   Bounds
+	limits   Limits
 	client   *http.Client
 	received atomic.Int64
 }
 
 // New returns a transfer.
-func New(b Bounds) *Transfer {
-	t := &Transfer{bounds: b}
+func New(l Limits) *Transfer {
+	t := &Transfer{limits: l}
 	t.client = &http.Client{
-		Timeout:   b.Whole,
+		Timeout:   l.TotalTimeout,
 		Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true, DialContext: t.dial},
 	}
 	return t
@@ -52,7 +52,7 @@
 func (t *Transfer) Received() int64 { return t.received.Load() }
 
 func (t *Transfer) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: t.bounds.Connect}
+	dialer := net.Dialer{Timeout: t.limits.ConnectTimeout}
 	c, err := dialer.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
@@ -67,18 +67,18 @@
 }
 
 func (c *conn) Read(p []byte) (int, error) {
-	if err := c.SetReadDeadline(time.Now().Add(c.of.bounds.Silence)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(c.of.limits.IdleTimeout)); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Read(p)
-	if received := c.of.received.Add(int64(n)); received > c.of.bounds.Bytes {
-		return n, fmt.Errorf("%w of %d bytes", ErrTooLarge, c.of.bounds.Bytes)
+	if received := c.of.received.Add(int64(n)); received > c.of.limits.MaxBytes {
+		return n, fmt.Errorf("%w of %d bytes", ErrTooLarge, c.of.limits.MaxBytes)
 	}
 	return n, err
 }
 
 func (c *conn) Write(p []byte) (int, error) {
-	if err := c.SetWriteDeadline(time.Now().Add(c.of.bounds.Silence)); err != nil {
+	if err := c.SetWriteDeadline(time.Now().Add(c.of.limits.IdleTimeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(p)
--- a/internal/connection/transfer/transfer_test.go
+++ b/internal/connection/transfer/transfer_test.go
@@ -12,7 +12,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-var bounds = Bounds{Connect: time.Second, Silence: 200 * time.Millisecond, Whole: 10 * time.Second, Bytes: 1 << 20}
+var bounds = Limits{ConnectTimeout: time.Second, IdleTimeout: 200 * time.Millisecond, TotalTimeout: 10 * time.Second, MaxBytes: 1 << 20}
 
 // pieces answers in pieces, with a pause before each.
 func pieces(t *testing.T, n, size int, pause time.Duration) string {
@@ -50,7 +50,7 @@
 // a small one.
 func TestTransferThatArrivesIsNotGivenUp(t *testing.T) {
 	way := New(bounds)
-	n, err := way.fetch(pieces(t, 10, 1000, bounds.Silence/2))
+	n, err := way.fetch(pieces(t, 10, 1000, bounds.IdleTimeout/2))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, n, qt.Equals, 10_000)
 	qt.Check(t, way.Received() > 10_000, qt.IsTrue)
@@ -61,14 +61,14 @@
 func TestSilentTransferEnds(t *testing.T) {
 	for name, url := range map[string]string{
 		"from the beginning": pieces(t, 1, 1, time.Minute),
-		"in the midst":       pieces(t, 2, 1000, 2*bounds.Silence),
+		"in the midst":       pieces(t, 2, 1000, 2*bounds.IdleTimeout),
 	} {
 		t.Run(name, func(t *testing.T) {
 			begun := time.Now()
 			_, err := New(bounds).fetch(url)
 			var timeout net.Error
 			qt.Check(t, errors.As(err, &timeout) && timeout.Timeout(), qt.IsTrue, qt.Commentf("%v", err))
-			qt.Check(t, time.Since(begun) < 10*bounds.Silence, qt.IsTrue)
+			qt.Check(t, time.Since(begun) < 10*bounds.IdleTimeout, qt.IsTrue)
 		})
 	}
 }
@@ -76,8 +76,8 @@
 // Guards against a peer that never ends: by time, and by bytes.
 func TestEndlessTransferEnds(t *testing.T) {
 	slow := bounds
-	slow.Whole = 5 * bounds.Silence
-	_, err := New(slow).fetch(pieces(t, 1<<20, 1, bounds.Silence/10))
+	slow.TotalTimeout = 5 * bounds.IdleTimeout
+	_, err := New(slow).fetch(pieces(t, 1<<20, 1, bounds.IdleTimeout/10))
 	qt.Check(t, err, qt.IsNotNil)
 	_, err = New(bounds).fetch(pieces(t, 1<<20, 64<<10, 0))
 	qt.Check(t, errors.Is(err, ErrTooLarge), qt.IsTrue, qt.Commentf("%v", err))
--- a/internal/daemon/gatewayd/daemon.go
+++ b/internal/daemon/gatewayd/daemon.go
@@ -194,7 +194,9 @@
 }
 
 // ApplyPeerFeedback takes what an answer to a peer says of its endpoint.
-func (d *Daemon) ApplyPeerFeedback(f peers.EndpointFeedback) { d.gateway.ApplyPeerFeedback(f.Endpoint, f.Feedback) }
+func (d *Daemon) ApplyPeerFeedback(f peers.EndpointFeedback) {
+	d.gateway.ApplyPeerFeedback(f.Endpoint, f.Feedback)
+}
 
 // keep prepares changes of roles, where the policy makes some and the placer
 // knows what it needs.
--- a/internal/process/confsync/syncer.go
+++ b/internal/process/confsync/syncer.go
@@ -136,7 +136,7 @@
 }
 
 func dialTwirp(address string) control.Control {
-	way := transfer.New(transfer.Bounds{Connect: connectTime, Silence: silence, Whole: wholeTime, Bytes: answerLimit})
+	way := transfer.New(transfer.Limits{ConnectTimeout: connectTime, IdleTimeout: silence, TotalTimeout: wholeTime, MaxBytes: answerLimit})
 	return control.NewControlProtobufClient("http://"+address, way.Client())
 }
 
--- a/internal/process/entry/attempt.go
+++ b/internal/process/entry/attempt.go
@@ -86,15 +86,15 @@
 	}
 	answer.askResume(header)
 	got, err := e.client.Do(ctx, sidecarhttp.Attempt{
-		ID:        c.ID() + "-" + strconv.Itoa(n),
-		Endpoint:  place.Endpoint().ID(),
-		Address:   place.Endpoint().Address(),
-		Method:    c.Method(),
-		Path:      c.Path(),
-		Header:    header,
-		Body:      c.Body(),
-		Remaining: e.placeUntil(c, n).Sub(e.clock.Now()),
-		Once:      c.Once(),
+		ID:         c.ID() + "-" + strconv.Itoa(n),
+		Endpoint:   place.Endpoint().ID(),
+		Address:    place.Endpoint().Address(),
+		Method:     c.Method(),
+		Path:       c.Path(),
+		Header:     header,
+		Body:       c.Body(),
+		Remaining:  e.placeUntil(c, n).Sub(e.clock.Now()),
+		AtMostOnce: c.Once(),
 	})
 	if err != nil {
 		return typed(err), time.Time{}
--- a/internal/process/follower/evidence.go
+++ b/internal/process/follower/evidence.go
@@ -55,7 +55,7 @@
 		stampedBy := f.known[carawayspread.ResourceRoutes].stampedBy
 		f.mu.Unlock()
 		if stampedBy != "" {
-			_ = asker.AskTime(ctx, stampedBy) // the store is asked next
+			_ = asker.PullStoreTime(ctx, stampedBy) // the store is asked next
 		}
 		if !f.boundsStore() {
 			_ = f.Refresh(ctx) // the source logs that the store does not answer
--- a/internal/process/follower/follower.go
+++ b/internal/process/follower/follower.go
@@ -28,9 +28,9 @@
 
 // Asker has a peer hand on what it knows of a matter.
 type Asker interface {
-	Ask(ctx context.Context, peer string, of carawayspread.Resource) error
-	// AskTime has it bound the store's steady clock alone.
-	AskTime(ctx context.Context, peer string) error
+	Pull(ctx context.Context, peer string, of carawayspread.Resource) error
+	// PullStoreTime has it bound the store's steady clock alone.
+	PullStoreTime(ctx context.Context, peer string) error
 }
 
 // known is what this process holds of one matter, beside the contents.
@@ -238,7 +238,7 @@
 	if f.agrees(c) || c.claim.Version <= f.have(c.of).Version {
 		return // it has come from elsewhere meanwhile
 	}
-	if asker.Ask(ctx, c.peer, c.of) != nil {
+	if asker.Pull(ctx, c.peer, c.of) != nil {
 		return // logged by the asker; the next message says it again
 	}
 	own := f.source.Have(c.of)
--- a/internal/process/follower/follower_test.go
+++ b/internal/process/follower/follower_test.go
@@ -161,8 +161,8 @@
 
 func (n *node) Learn(carawayspread.Knowledge) (bool, error) { return false, nil }
 
-// Ask takes what the peer of that name holds.
-func (n *node) Ask(_ context.Context, peer string, of carawayspread.Resource) error {
+// Pull takes what the peer of that name holds.
+func (n *node) Pull(_ context.Context, peer string, of carawayspread.Resource) error {
 	time.Sleep(4 * time.Millisecond)
 	from := n.w.byName(peer)
 	from.mu.Lock()
@@ -175,7 +175,7 @@
 	return nil
 }
 
-func (n *node) AskTime(_ context.Context, peer string) error {
+func (n *node) PullStoreTime(_ context.Context, peer string) error {
 	asked := n.uptime.Uptime()
 	time.Sleep(2 * time.Millisecond)
 	stamp, _ := n.w.byName(peer).clock.Now()
