--- a/internal/connection/peers/forward.go
+++ b/internal/connection/peers/forward.go
@@ -11,138 +11,141 @@
 
 const (
 	bundleMagic = 0xc7
-	// forwarders is how many processes of a zone take turns in passing messages on
-	// to the others of it: where one of them dies, every second message is missing
-	// until it counts as silent.
-	forwarders = 2
-	// forwardSpacing is the least time between two bundles, stretched by
-	// forwardPerPeer: with some ten peers some fifty of them a second.
-	forwardSpacing = 8 * time.Millisecond
-	forwardPerPeer = time.Millisecond
-	// forwardLife is how long a silent peer is trusted to pass messages on: two of
-	// its heartbeats may be lost.
-	forwardLife = 1200 * time.Millisecond
-	// bundleLimit bounds what waits to be passed on, in messages.
-	bundleLimit = 4096
+	// forwardersPerZone is how many processes of a zone take turns in forwarding messages to the
+	// other processes of the zone. If one of them dies, every second message is lost until it
+	// counts as silent.
+	forwardersPerZone = 2
+	// bundleInterval is the minimum time between two bundles. It grows by bundleIntervalPerPeer
+	// with each recipient: with about ten peers, about fifty bundles a second are sent.
+	bundleInterval        = 8 * time.Millisecond
+	bundleIntervalPerPeer = time.Millisecond
+	// forwarderTimeout is how long a silent peer may still be chosen as a forwarder: two of its
+	// heartbeats may be lost.
+	forwarderTimeout = 1200 * time.Millisecond
+	// maxForwardQueue bounds the messages that wait to be forwarded.
+	maxForwardQueue = 4096
 )
 
-// splitLocked returns the peers that a message is sent to: those of the own zone,
-// or of a zone not known yet, and those that pass it on in theirs.
+// recipientsLocked returns the peers to which a message is sent directly, which are those of this
+// process's zone and of unknown zones, and the peers that forward it in the other zones.
 //
-// Load pattern: each process tells all others of each placement. Without it a
-// process sends and hears as many messages as there are processes, each some
-// hundred times a second, and has to space them so that others hear of a placement
-// when the next ones are placed already.
-func (s *Socket) splitLocked(own string, turn int) (to, forward []netip.AddrPort) {
-	for zone, of := range s.zonesLocked() {
-		if zone == "" || zone == own || len(of) <= forwarders {
-			for _, p := range of {
+// Each process sends an update about each placement to all others. If all of them were sent
+// directly, a process would send and receive as many messages as there are processes, each about
+// a hundred times a second. They would have to be spaced so far apart that an update would arrive
+// only after the next requests had been placed.
+func (s *Socket) recipientsLocked(own string, turn int) (to, forward []netip.AddrPort) {
+	for zone, members := range s.peersByZoneLocked() {
+		if zone == "" || zone == own || len(members) <= forwardersPerZone {
+			for _, p := range members {
 				to = append(to, p.address)
 			}
 			continue
 		}
-		forward = append(forward, of[turn%forwarders].address)
+		forward = append(forward, members[turn%forwardersPerZone].address)
 	}
 	return to, forward
 }
 
-// beatLocked returns the peers that a heartbeat is sent to, and those that pass it on in
-// their zones: as a placement, and directly to whoever has been silent for a while.
-func (s *Socket) beatLocked(own string) (to, forward []netip.AddrPort) {
-	s.beats++
-	to, forward = s.splitLocked(own, s.beats)
+// heartbeatRecipientsLocked returns the peers to which a heartbeat is sent directly, and those that
+// forward it in their zones. They are the recipients of a load update and, directly, the peers that
+// have been silent for longer than forwarderTimeout.
+func (s *Socket) heartbeatRecipientsLocked(own string) (to, forward []netip.AddrPort) {
+	s.heartbeats++
+	to, forward = s.recipientsLocked(own, s.heartbeats)
 	now := s.clock.Now()
 	for _, p := range s.peers {
-		if silent := now.Sub(p.heard); silent >= forwardLife && silent < heardLife {
+		if silent := now.Sub(p.lastSeen); silent >= forwarderTimeout && silent < activeTimeout {
 			to = append(to, p.address)
 		}
 	}
 	return to, forward
 }
 
-// zonesLocked returns the peers that are heard by zone, the largest first.
-func (s *Socket) zonesLocked() map[string][]*peer {
+// peersByZoneLocked returns the peers seen within forwarderTimeout by zone, in the order of
+// compareCapacity.
+func (s *Socket) peersByZoneLocked() map[string][]*peer {
 	now := s.clock.Now()
 	zones := map[string][]*peer{}
 	for _, p := range s.peers {
-		if now.Sub(p.heard) < forwardLife {
-			zones[p.presence.Zone] = append(zones[p.presence.Zone], p)
+		if now.Sub(p.lastSeen) < forwarderTimeout {
+			zones[p.status.Zone] = append(zones[p.status.Zone], p)
 		}
 	}
-	for _, of := range zones {
-		slices.SortFunc(of, larger)
+	for _, members := range zones {
+		slices.SortFunc(members, compareCapacity)
 	}
 	return zones
 }
 
-// largestLocked returns the largest peer of each zone but one.
-func (s *Socket) largestLocked(but string) []netip.AddrPort {
+// largestPerZoneLocked returns the peer with the largest capacity of each zone except one.
+func (s *Socket) largestPerZoneLocked(except string) []netip.AddrPort {
 	var to []netip.AddrPort
-	for zone, of := range s.zonesLocked() {
-		if zone != but {
-			to = append(to, of[0].address)
+	for zone, members := range s.peersByZoneLocked() {
+		if zone != except {
+			to = append(to, members[0].address)
 		}
 	}
 	return to
 }
 
-// larger orders peers by what their instances carry; all processes order them alike.
-func larger(a, b *peer) int {
-	if c := cmp.Compare(b.presence.Capacity, a.presence.Capacity); c != 0 {
+// compareCapacity orders peers by the capacity of their instances, largest first. All processes
+// get the same order.
+func compareCapacity(a, b *peer) int {
+	if c := cmp.Compare(b.status.Capacity, a.status.Capacity); c != 0 {
 		return c
 	}
 	return a.address.Compare(b.address)
 }
 
-// pass queues a message of another zone for the own one.
-func (s *Socket) pass(m message) {
+// queueForward queues a message from another zone for the peers of this zone.
+func (s *Socket) queueForward(m message) {
 	m.forward = false
 	body := m.encode()
 	s.mu.Lock()
-	if len(s.passing) < bundleLimit {
-		s.passing = append(s.passing, body)
+	if len(s.forwardQueue) < maxForwardQueue {
+		s.forwardQueue = append(s.forwardQueue, body)
 	}
 	s.mu.Unlock()
 	select {
-	case s.passes <- struct{}{}:
+	case s.forwardWake <- struct{}{}:
 	default:
 	}
 }
 
-// runForward passes messages on until ctx ends.
+// runForward forwards queued messages until ctx ends.
 func (s *Socket) runForward(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.passes:
+		case <-s.forwardWake:
 		}
-		zone := s.presence().Zone
+		zone := s.status().Zone
 		s.mu.Lock()
-		bodies := s.passing
-		s.passing = nil
-		to := s.zoneLocked(zone)
+		bodies := s.forwardQueue
+		s.forwardQueue = nil
+		to := s.zonePeersLocked(zone)
 		s.mu.Unlock()
 		for _, b := range bundle(bodies) {
 			for _, address := range to {
-				// As good as lost; counts are repeated by heartbeats.
+				// A send error is treated as packet loss; heartbeats repeat the loads.
 				_, _ = s.conn.WriteToUDPAddrPort(b, address)
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.clock.After(forwardSpacing + time.Duration(len(to))*forwardPerPeer):
+		case <-s.clock.After(bundleInterval + time.Duration(len(to))*bundleIntervalPerPeer):
 		}
 	}
 }
 
-// zoneLocked returns the peers of a zone that are heard.
-func (s *Socket) zoneLocked(zone string) []netip.AddrPort {
+// zonePeersLocked returns the active peers of a zone.
+func (s *Socket) zonePeersLocked(zone string) []netip.AddrPort {
 	now := s.clock.Now()
 	var to []netip.AddrPort
 	for _, p := range s.peers {
-		if p.presence.Zone == zone && now.Sub(p.heard) < heardLife {
+		if p.status.Zone == zone && now.Sub(p.lastSeen) < activeTimeout {
 			to = append(to, p.address)
 		}
 	}
@@ -154,7 +157,7 @@
 	var packets [][]byte
 	b := []byte{bundleMagic}
 	for _, body := range bodies {
-		if len(b) > 1 && len(b)+len(body)+binary.MaxVarintLen64 > sizeLimit {
+		if len(b) > 1 && len(b)+len(body)+binary.MaxVarintLen64 > maxMessageSize {
 			packets = append(packets, b)
 			b = []byte{bundleMagic}
 		}
@@ -167,13 +170,13 @@
 	return packets
 }
 
-// unbundle returns the messages of a packet. What follows a broken length is lost.
+// unbundle returns the messages of a packet. Everything after a malformed length is dropped.
 func unbundle(b []byte) [][]byte {
 	r := &reader{b: b[1:]}
 	var bodies [][]byte
 	for len(r.b) > 0 {
-		body := r.bytes(r.count(sizeLimit))
-		if r.bad {
+		body := r.bytes(r.count(maxMessageSize))
+		if r.failed {
 			break
 		}
 		bodies = append(bodies, body)
--- a/internal/connection/peers/heartbeat.go
+++ b/internal/connection/peers/heartbeat.go
@@ -9,84 +9,85 @@
 )
 
 const (
-	heartbeat = 500 * time.Millisecond
-	// named is how many peers a heartbeat names.
-	named = 6
+	heartbeatInterval = 500 * time.Millisecond
+	// sampleSize is how many peers a heartbeat names.
+	sampleSize = 6
 )
 
-// FleetSize returns how many processes there are, this one included: as many as it
-// hears, or as any of them does. One that has just started hears few for a second,
-// and would take more than its share of what is allowed to all.
+// FleetSize returns how many processes there are, this one included: the largest number that this
+// process or any of its peers receives messages from. A process that has just started receives
+// messages from few others for about a second, and would otherwise take more than its share of the
+// limits that apply to the whole fleet.
 func (s *Socket) FleetSize() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := s.fleetLocked()
+	n := s.fleetSizeLocked()
 	for _, p := range s.peers {
-		n = max(n, p.presence.FleetSize)
+		n = max(n, p.status.FleetSize)
 	}
 	return n
 }
 
-// fleetLocked returns how many processes this one hears, itself included.
-func (s *Socket) fleetLocked() int {
+// fleetSizeLocked returns how many processes this one receives messages from, itself included.
+func (s *Socket) fleetSizeLocked() int {
 	now, n := s.clock.Now(), 1
 	for _, p := range s.peers {
-		if now.Sub(p.heard) < countLife {
+		if now.Sub(p.lastSeen) < memberTimeout {
 			n++
 		}
 	}
 	return n
 }
 
-// Membership returns what this process drew at its start, and the same of all processes that
-// are heard, itself included.
+// Membership returns the random identifier of this process, and the identifiers of all active
+// processes, itself included.
 func (s *Socket) Membership() (self uint64, all []uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	all = []uint64{s.id}
 	for id, p := range s.peers {
-		if now.Sub(p.heard) < heardLife {
+		if now.Sub(p.lastSeen) < activeTimeout {
 			all = append(all, id)
 		}
 	}
 	return s.id, all
 }
 
-// SetStatusFunc sets what returns how this process stands, which each heartbeat states.
-// It is called before Run.
-func (s *Socket) SetStatusFunc(presence func() carawayspread.PeerStatus) { s.presence = presence }
+// SetStatusFunc sets the function that returns the status of this process, which each heartbeat
+// carries. It must be called before Run.
+func (s *Socket) SetStatusFunc(status func() carawayspread.PeerStatus) { s.status = status }
 
-// Announce tells the peers of the own zone and the largest of each other zone how this
-// process stands.
+// Announce sends the status of this process to the peers of its zone and to the largest peer of
+// each other zone, without waiting for the next heartbeat.
 func (s *Socket) Announce() {
-	presence := s.presence()
+	status := s.status()
 	s.mu.Lock()
-	presence.FleetSize = s.fleetLocked()
-	to := append(s.zoneLocked(presence.Zone), s.largestLocked(presence.Zone)...)
+	status.FleetSize = s.fleetSizeLocked()
+	to := append(s.zonePeersLocked(status.Zone), s.largestPerZoneLocked(status.Zone)...)
 	s.mu.Unlock()
-	s.send(message{sender: s.id, address: s.self, presence: &presence}, to)
+	s.send(message{sender: s.id, address: s.self, status: &status}, to)
 }
 
-// beat tells that this process lives, what it has at all endpoints and whom it
-// hears.
-func (s *Socket) beat() {
-	presence := s.presence()
+// sendHeartbeat sends the status of this process, its load at all endpoints and a sample of the
+// peers that it receives messages from.
+func (s *Socket) sendHeartbeat() {
+	status := s.status()
 	s.mu.Lock()
-	presence.FleetSize = s.fleetLocked()
-	m := message{sender: s.id, address: s.self, presence: &presence}
-	for endpoint, n := range s.counts {
-		m.notices = append(m.notices, n)
+	status.FleetSize = s.fleetSizeLocked()
+	m := message{sender: s.id, address: s.self, status: &status}
+	for endpoint, n := range s.loads {
+		m.updates = append(m.updates, n)
 		if n.Running == 0 {
-			delete(s.counts, endpoint) // told once more, then left out
+			delete(s.loads, endpoint) // sent this once more, then left out
 		}
 	}
-	heard := s.heardLocked()
-	m.known = sample(heard)
-	to, forward := s.beatLocked(presence.Zone)
+	active := s.activeLocked()
+	m.knownPeers = sample(active)
+	to, forward := s.heartbeatRecipientsLocked(status.Zone)
 	now := s.clock.Now()
 	listed := map[netip.AddrPort]bool{}
-	for _, address := range heard {
+	for _, address := range active {
 		listed[address] = true
 	}
 	for _, address := range s.seeds {
@@ -95,9 +96,9 @@
 			to = append(to, address)
 		}
 	}
-	for address, since := range s.rumours {
-		if now.Sub(since) > countLife {
-			delete(s.rumours, address)
+	for address, since := range s.unverified {
+		if now.Sub(since) > memberTimeout {
+			delete(s.unverified, address)
 		} else if !listed[address] {
 			to = append(to, address)
 		}
@@ -108,12 +109,12 @@
 	s.send(m, forward)
 }
 
-// sample draws the addresses that a heartbeat names: newcomers know all peers after
-// some of them, and it stays as short in a large fleet.
+// sample returns random addresses for a heartbeat to name. A new process learns all peers from a
+// few heartbeats, and the heartbeat stays short in a large fleet.
 func sample(all []netip.AddrPort) []netip.AddrPort {
-	drawn := make([]netip.AddrPort, 0, min(named, len(all)))
-	for _, i := range rand.Perm(len(all))[:min(named, len(all))] {
-		drawn = append(drawn, all[i])
+	sampled := make([]netip.AddrPort, 0, min(sampleSize, len(all)))
+	for _, i := range rand.Perm(len(all))[:min(sampleSize, len(all))] {
+		sampled = append(sampled, all[i])
 	}
-	return drawn
+	return sampled
 }
--- a/internal/connection/peers/receive.go
+++ b/internal/connection/peers/receive.go
@@ -7,7 +7,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Receive passes on what peers tell, until the socket is closed.
+// Receive passes the messages of peers to the receiver until the socket is closed.
 func (s *Socket) Receive(r Receiver) error {
 	buffer := make([]byte, readBuffer)
 	for {
@@ -21,28 +21,28 @@
 			}
 			continue
 		}
-		if n > 0 && buffer[0] == doubtMagic {
-			s.receiveDoubt(buffer[:n])
+		if n > 0 && buffer[0] == refusalMagic {
+			s.receiveRefusals(buffer[:n])
 			continue
 		}
 		s.receive(buffer[:n], r)
 	}
 }
 
-// receive takes one message. One that is malformed is dropped whole.
+// receive handles one message. A malformed message is dropped as a whole.
 func (s *Socket) receive(body []byte, r Receiver) {
 	m, err := decode(body)
 	if err != nil || m.sender == s.id {
 		return
 	}
 	if m.forward {
-		s.pass(m)
+		s.queueForward(m)
 	}
-	s.note(m)
-	if m.presence != nil {
-		r.ApplyPeerStatus(m.sender, m.address.String(), *m.presence)
+	s.recordPeer(m)
+	if m.status != nil {
+		r.ApplyPeerStatus(m.sender, m.address.String(), *m.status)
 	}
-	r.ApplyLoadUpdates(strconv.FormatUint(m.sender, 36), m.notices)
+	r.ApplyLoadUpdates(strconv.FormatUint(m.sender, 36), m.updates)
 	for _, c := range m.crashes {
 		r.RecordCrash(c)
 	}
@@ -52,7 +52,8 @@
 	s.receiveUsage(m, r)
 }
 
-func (s *Socket) note(m message) {
+// recordPeer updates what is known of the sender and notes the addresses that it names.
+func (s *Socket) recordPeer(m message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
@@ -61,26 +62,26 @@
 		p = &peer{}
 		s.peers[m.sender] = p
 	}
-	p.address, p.heard = m.address, now
-	if m.presence != nil {
-		p.presence = *m.presence
+	p.address, p.lastSeen = m.address, now
+	if m.status != nil {
+		p.status = *m.status
 	}
 	for id, other := range s.peers {
 		if id != m.sender && other.address == m.address {
-			delete(s.peers, id) // the process before it at this address
+			delete(s.peers, id) // an earlier process at this address
 		}
 	}
-	delete(s.rumours, m.address)
-	for _, address := range m.known {
-		if address != s.self && !s.hears(address) {
-			if _, ok := s.rumours[address]; !ok {
-				s.rumours[address] = now
+	delete(s.unverified, m.address)
+	for _, address := range m.knownPeers {
+		if address != s.self && !s.knowsAddress(address) {
+			if _, ok := s.unverified[address]; !ok {
+				s.unverified[address] = now
 			}
 		}
 	}
 }
 
-func (s *Socket) hears(address netip.AddrPort) bool {
+func (s *Socket) knowsAddress(address netip.AddrPort) bool {
 	for _, p := range s.peers {
 		if p.address == address {
 			return true
--- a/internal/connection/peers/socket.go
+++ b/internal/connection/peers/socket.go
@@ -15,50 +15,50 @@
 )
 
 const (
-	// spacing is the least time between two messages to one peer. Requests
-	// arrive some 20 ms apart before one process: a placement is known to the
-	// others before most of them place their next.
-	spacing = 4 * time.Millisecond
-	// spacingPerPeer stretches it with the fleet, so that what a process
-	// receives stays under some hundred messages a second.
-	spacingPerPeer = 2 * time.Millisecond
-	// heardLife is how long a peer that fell silent is sent to.
-	heardLife = 4 * time.Second
-	// countLife is how long it counts as one that shares what is allowed to
-	// all: longer than any outage after which it may be back at once.
-	countLife = 30 * time.Second
-	// openTries bounds the search for a port that is free for both protocols.
-	openTries = 16
-	// waiting bounds what is not sent yet.
-	waiting    = 1024
+	// sendInterval is the minimum time between two messages to one peer. Requests arrive about
+	// 20 ms apart at one process, so an update reaches the others before most of them place their
+	// next request.
+	sendInterval = 4 * time.Millisecond
+	// sendIntervalPerPeer is added for each recipient, so that a process receives no more than a
+	// few hundred messages a second.
+	sendIntervalPerPeer = 2 * time.Millisecond
+	// activeTimeout is how long messages are still sent to a peer that has become silent.
+	activeTimeout = 4 * time.Second
+	// memberTimeout is how long a silent peer still counts as a member of the fleet that shares its
+	// limits. It is longer than any outage after which the peer may be back at once.
+	memberTimeout = 30 * time.Second
+	// listenAttempts bounds the search for a port that is free for both UDP and TCP.
+	listenAttempts = 16
+	// maxPending bounds the load updates, and likewise the crashes, that wait to be sent.
+	maxPending = 1024
 	readBuffer = 64 << 10
 )
 
-// Receiver takes what peers tell.
+// Receiver handles the messages of peers.
 type Receiver interface {
-	// ApplyLoadUpdates takes the placements of a peer.
-	ApplyLoadUpdates(from string, notices []carawayspread.LoadUpdate)
-	// ApplyPeerStatus takes how the peer at that address stands.
+	// ApplyLoadUpdates handles the load updates of a peer.
+	ApplyLoadUpdates(from string, updates []carawayspread.LoadUpdate)
+	// ApplyPeerStatus handles the status of the peer at that address.
 	ApplyPeerStatus(id uint64, address string, s carawayspread.PeerStatus)
-	// RecordCrash takes a request that broke an endpoint.
+	// RecordCrash handles a crash that a peer observed, or its withdrawal.
 	RecordCrash(Crash)
-	// ApplyPeerFeedback takes what an answer to a peer says of its endpoint.
+	// ApplyPeerFeedback handles endpoint feedback that a peer received with an answer.
 	ApplyPeerFeedback(EndpointFeedback)
-	// UsageReceived takes what a peer counted, and reports whether all of it is known now.
+	// UsageReceived handles a peer's usage statement. It reports whether all of that peer's counts
+	// for the window are now known.
 	UsageReceived(carawayspread.UsageStatement) bool
-	// Acknowledged takes note that a peer knows all that this process counted in a
-	// closed window.
+	// Acknowledged records that a peer has all of this process's counts for a closed window.
 	Acknowledged(peer uint64, window int64)
 }
 
 type peer struct {
-	address netip.AddrPort
-	heard   time.Time
-	// presence is what it said of itself last; zero until then.
-	presence carawayspread.PeerStatus
+	address  netip.AddrPort
+	lastSeen time.Time
+	// status is the newest status that it sent; zero if there was none.
+	status carawayspread.PeerStatus
 }
 
-// Socket is the process's end towards all peers. It is safe for concurrent use.
+// Socket sends messages to all peers and receives theirs. It is safe for concurrent use.
 type Socket struct {
 	conn  *net.UDPConn
 	tcp   net.Listener // at the same address
@@ -67,33 +67,33 @@
 	id    uint64
 	seeds []netip.AddrPort
 	wake  chan struct{}
-	// passes wakes what passes messages on.
-	passes chan struct{}
-	// presence returns how this process stands.
-	presence func() carawayspread.PeerStatus
-	doubter  RefusalTracker // nil where nothing is refused
+	// forwardWake signals runForward that messages are queued.
+	forwardWake chan struct{}
+	// status returns the status of this process.
+	status   func() carawayspread.PeerStatus
+	refusals RefusalTracker // nil if nothing is refused
 
 	mu      sync.Mutex
 	pending []carawayspread.LoadUpdate
 	crashes []Crash
-	// feedback is what was not sent yet.
-	feedback map[carawayspread.EndpointID]carawayspread.Feedback
-	counts   map[uint32]carawayspread.LoadUpdate // newest counts told of each endpoint
-	peers    map[uint64]*peer                    // by what they drew at their start
-	turn     int                                 // of the processes of a zone that pass placements on
-	beats    int                                 // heartbeats that were sent
-	passing  [][]byte                            // messages of other zones that are not passed on yet
-	rumours  map[netip.AddrPort]time.Time        // addresses that peers name and that were not heard yet
+	// feedback has not been sent yet.
+	feedback     map[carawayspread.EndpointID]carawayspread.Feedback
+	loads        map[uint32]carawayspread.LoadUpdate // newest load queued for each endpoint
+	peers        map[uint64]*peer                    // by their random identifiers
+	forwardTurn  int                                 // selects the forwarder in each zone
+	heartbeats   int                                 // heartbeats sent
+	forwardQueue [][]byte                            // messages from other zones that wait to be forwarded
+	unverified   map[netip.AddrPort]time.Time        // when each address was named by a peer from which nothing has arrived yet
 }
 
-// Listen opens the address. The seeds are addresses of processes that may be
-// there.
+// Listen opens the address. The seeds are addresses at which other processes may run; those that
+// cannot be parsed are ignored.
 func Listen(address string, seeds []string, clock carawayspread.Clock) (*Socket, error) {
 	self, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	conn, tcp, err := open(self)
+	conn, tcp, err := listen(self)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -101,10 +101,10 @@
 		self = netip.AddrPortFrom(self.Addr(), uint16(bound.Port))
 	}
 	s := &Socket{
-		conn: conn, tcp: tcp, clock: clock, self: self, id: rand.Uint64(), wake: make(chan struct{}, 1), passes: make(chan struct{}, 1),
-		presence: func() carawayspread.PeerStatus { return carawayspread.PeerStatus{} },
+		conn: conn, tcp: tcp, clock: clock, self: self, id: rand.Uint64(), wake: make(chan struct{}, 1), forwardWake: make(chan struct{}, 1),
+		status:   func() carawayspread.PeerStatus { return carawayspread.PeerStatus{} },
 		feedback: map[carawayspread.EndpointID]carawayspread.Feedback{},
-		counts:   map[uint32]carawayspread.LoadUpdate{}, peers: map[uint64]*peer{}, rumours: map[netip.AddrPort]time.Time{},
+		loads:    map[uint32]carawayspread.LoadUpdate{}, peers: map[uint64]*peer{}, unverified: map[netip.AddrPort]time.Time{},
 	}
 	for _, seed := range seeds {
 		if parsed, err := netip.ParseAddrPort(seed); err == nil && parsed != self {
@@ -114,11 +114,10 @@
 	return s, nil
 }
 
-// open opens one port for datagrams and for connections. Where the port is left
-// to the system, the one that it gives for datagrams may be taken for
-// connections; another is tried then.
-func open(address netip.AddrPort) (conn *net.UDPConn, tcp net.Listener, err error) {
-	for range openTries {
+// listen opens one port for both UDP and TCP. If the operating system chooses the port, the one
+// chosen for UDP may already be in use for TCP; then another is tried.
+func listen(address netip.AddrPort) (conn *net.UDPConn, tcp net.Listener, err error) {
+	for range listenAttempts {
 		if conn, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address)); err != nil {
 			return nil, nil, err
 		}
@@ -133,76 +132,76 @@
 	return nil, nil, err
 }
 
-// Listener returns the socket for peers' connections.
+// Listener returns the listener for TCP connections of peers.
 func (s *Socket) Listener() net.Listener { return s.tcp }
 
-// PeerAddresses returns the addresses at which peers are or may be.
+// PeerAddresses returns the addresses of the active peers, or the seeds if there are none.
 func (s *Socket) PeerAddresses() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	to := s.heardLocked()
+	to := s.activeLocked()
 	if len(to) == 0 {
 		to = s.seeds
 	}
-	known := make([]string, 0, len(to))
+	addresses := make([]string, 0, len(to))
 	for _, address := range to {
-		known = append(known, address.String())
+		addresses = append(addresses, address.String())
 	}
-	return known
+	return addresses
 }
 
-// Address returns IP number and port.
+// Address returns the IP address and port of this process.
 func (s *Socket) Address() string { return s.self.String() }
 
-// Broadcast queues a notice for all peers. It does not block.
-func (s *Socket) Broadcast(n carawayspread.LoadUpdate) {
+// Broadcast queues a load update for all peers. It does not block.
+func (s *Socket) Broadcast(u carawayspread.LoadUpdate) {
 	s.mu.Lock()
-	s.counts[n.EndpointHash] = carawayspread.LoadUpdate{EndpointHash: n.EndpointHash, Running: n.Running, Tokens: n.Tokens}
-	if len(s.pending) < waiting && len(s.peers) > 0 {
-		s.pending = append(s.pending, n)
+	s.loads[u.EndpointHash] = carawayspread.LoadUpdate{EndpointHash: u.EndpointHash, Running: u.Running, Tokens: u.Tokens}
+	if len(s.pending) < maxPending && len(s.peers) > 0 {
+		s.pending = append(s.pending, u)
 	}
 	s.mu.Unlock()
-	s.rouse()
+	s.wakeSender()
 }
 
 // BroadcastCrash queues a crash for all peers.
 func (s *Socket) BroadcastCrash(c Crash) {
 	s.mu.Lock()
-	if len(s.crashes) < waiting {
+	if len(s.crashes) < maxPending {
 		s.crashes = append(s.crashes, c)
 	}
 	s.mu.Unlock()
-	s.rouse()
+	s.wakeSender()
 }
 
-func (s *Socket) rouse() {
+func (s *Socket) wakeSender() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// ID returns what this process drew at its start.
+// ID returns the random identifier of this process.
 func (s *Socket) ID() uint64 { return s.id }
 
-// Run sends until ctx ends.
+// Run sends messages and heartbeats until ctx ends.
 func (s *Socket) Run(ctx context.Context) error {
 	var forwarding sync.WaitGroup
 	defer forwarding.Wait()
 	forwarding.Go(func() { s.runForward(ctx) })
-	beat := s.clock.After(0)
+	heartbeat := s.clock.After(0)
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-beat:
-			s.beat()
-			s.tellDoubts()
-			beat = s.clock.After(heartbeat)
+		case <-heartbeat:
+			s.sendHeartbeat()
+			s.broadcastRefusals()
+			heartbeat = s.clock.After(heartbeatInterval)
 		case <-s.wake:
 			n := s.flush()
 			select {
-			case <-s.clock.After(spacing + time.Duration(n)*spacingPerPeer):
+			case <-s.clock.After(sendInterval + time.Duration(n)*sendIntervalPerPeer):
 			case <-ctx.Done():
 				return ctx.Err()
 			}
@@ -210,28 +209,28 @@
 	}
 }
 
-// Close ends Receive, and the listener where nobody serves it.
+// Close makes Receive return, and closes the listener if no server has closed it.
 func (s *Socket) Close() {
 	_ = s.conn.Close()
 	_ = s.tcp.Close()
 }
 
-// flush sends what is queued, and returns to how many. Placements go to the peers of
-// the own zone and to one of each other zone, which passes them on there; what is
-// told once and matters to all goes to all.
+// flush sends everything that is queued, and returns the number of recipients. Load updates go
+// to the peers of this zone and to one peer of each other zone, which forwards them there. Urgent
+// messages go to all peers directly.
 func (s *Socket) flush() int {
-	zone := s.presence().Zone
+	zone := s.status().Zone
 	s.mu.Lock()
-	m := message{sender: s.id, address: s.self, notices: s.pending, crashes: s.crashes}
+	m := message{sender: s.id, address: s.self, updates: s.pending, crashes: s.crashes}
 	s.pending, s.crashes = nil, nil
 	m.feedback = s.takeFeedbackLocked()
-	to, forward := s.heardLocked(), []netip.AddrPort(nil)
+	to, forward := s.activeLocked(), []netip.AddrPort(nil)
 	if !m.urgent() {
-		s.turn++
-		to, forward = s.splitLocked(zone, s.turn)
+		s.forwardTurn++
+		to, forward = s.recipientsLocked(zone, s.forwardTurn)
 	}
 	s.mu.Unlock()
-	if len(m.notices) > 0 || len(m.crashes) > 0 || len(m.feedback) > 0 {
+	if len(m.updates) > 0 || len(m.crashes) > 0 || len(m.feedback) > 0 {
 		s.send(m, to)
 		m.forward = true
 		s.send(m, forward)
@@ -239,33 +238,35 @@
 	return len(to) + len(forward)
 }
 
-// urgent reports whether the message tells what no heartbeat repeats and what keeps
+// urgent reports whether the message carries information that no heartbeat repeats and that keeps
 // requests from being lost.
 func (m message) urgent() bool {
-	return len(m.crashes) > 0 || slices.ContainsFunc(m.notices, func(n carawayspread.LoadUpdate) bool { return n.SuspendedFor > 0 })
+	return len(m.crashes) > 0 || slices.ContainsFunc(m.updates, func(u carawayspread.LoadUpdate) bool { return u.SuspendedFor > 0 })
 }
 
-func (s *Socket) heardLocked() []netip.AddrPort {
+// activeLocked returns the addresses of the active peers, and forgets those that have been silent for
+// longer than memberTimeout.
+func (s *Socket) activeLocked() []netip.AddrPort {
 	now := s.clock.Now()
 	var to []netip.AddrPort
 	for id, p := range s.peers {
-		switch silent := now.Sub(p.heard); {
-		case silent > countLife:
+		switch silent := now.Sub(p.lastSeen); {
+		case silent > memberTimeout:
 			delete(s.peers, id)
-		case silent < heardLife:
+		case silent < activeTimeout:
 			to = append(to, p.address)
 		}
 	}
 	return to
 }
 
-// send sends the message, in parts where it is too long for a packet.
+// send sends the message, split into several if it is too long for a packet.
 func (s *Socket) send(m message, to []netip.AddrPort) {
 	body := m.encode()
-	if len(body) > sizeLimit && len(m.notices) > 1 {
-		half := len(m.notices) / 2
-		s.send(message{sender: m.sender, address: m.address, notices: m.notices[:half], forward: m.forward}, to)
-		m.notices = m.notices[half:]
+	if len(body) > maxMessageSize && len(m.updates) > 1 {
+		half := len(m.updates) / 2
+		s.send(message{sender: m.sender, address: m.address, updates: m.updates[:half], forward: m.forward}, to)
+		m.updates = m.updates[half:]
 		s.send(m, to)
 		return
 	}
@@ -274,8 +275,7 @@
 
 func (s *Socket) sendBody(body []byte, to []netip.AddrPort) {
 	for _, address := range to {
-		// A datagram that cannot be sent is as good as lost; the next
-		// heartbeat makes up for it.
+		// A send error is treated as packet loss; the next heartbeat makes up for it.
 		_, _ = s.conn.WriteToUDPAddrPort(body, address)
 	}
 }
--- a/internal/connection/peers/usage.go
+++ b/internal/connection/peers/usage.go
@@ -8,63 +8,64 @@
 	"carawayspread"
 )
 
-// collecting is how many processes add usage up: the holder of the lease and one that
-// can take over from it.
-const collecting = 2
+// collectorCount is how many processes collect usage: the lease holder and one that can take over
+// from it.
+const collectorCount = 2
 
-// Collectors returns the processes that add usage up: the largest instances, those
-// that the store answers first, which all draw alike from what they hear, and whoever
-// holds the lease. It reports whether this process is one of the first.
+// Collectors returns the other processes that collect usage: the first collectorCount in an order
+// in which processes that the store answers come first and then the largest instances, and any
+// that may hold the lease. All processes that receive messages from the same peers get the same
+// order. It reports whether this process is one of the first.
 func (s *Socket) Collectors() (others []carawayspread.Peer, self bool) {
-	own := s.presence()
+	status := s.status()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	me := &peer{address: s.self, presence: own}
-	ids := map[*peer]uint64{me: s.id}
-	order := []*peer{me}
+	local := &peer{address: s.self, status: status}
+	ids := map[*peer]uint64{local: s.id}
+	order := []*peer{local}
 	for id, p := range s.peers {
-		if now.Sub(p.heard) < forwardLife {
+		if now.Sub(p.lastSeen) < forwarderTimeout {
 			ids[p] = id
 			order = append(order, p)
 		}
 	}
 	slices.SortFunc(order, func(a, b *peer) int {
-		if a.presence.CanReadStore != b.presence.CanReadStore {
-			if a.presence.CanReadStore {
+		if a.status.CanReadStore != b.status.CanReadStore {
+			if a.status.CanReadStore {
 				return -1
 			}
 			return 1
 		}
-		return larger(a, b)
+		return compareCapacity(a, b)
 	})
 	for i, p := range order {
 		switch {
-		case p == me:
-			self = i < collecting
-		case i < collecting || p.presence.MayHoldUsageLease:
+		case p == local:
+			self = i < collectorCount
+		case i < collectorCount || p.status.MayHoldUsageLease:
 			others = append(others, carawayspread.Peer{ID: ids[p], Address: p.address.String()})
 		}
 	}
 	return others, self
 }
 
-// Processes returns the peers that were heard no longer ago than that, as far as they
-// are remembered.
+// Processes returns the peers that were last seen no longer ago than within, but none that has been
+// silent for longer than memberTimeout.
 func (s *Socket) Processes(within time.Duration) []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	var processes []uint64
 	for id, p := range s.peers {
-		if now.Sub(p.heard) <= min(within, countLife) {
+		if now.Sub(p.lastSeen) <= min(within, memberTimeout) {
 			processes = append(processes, id)
 		}
 	}
 	return processes
 }
 
-// SendUsage sends what this process counted to a peer.
+// SendUsage sends usage statements of this process to a peer.
 func (s *Socket) SendUsage(to carawayspread.Peer, statements []carawayspread.UsageStatement) {
 	address, err := netip.ParseAddrPort(to.Address)
 	if err != nil {
@@ -73,21 +74,24 @@
 	m := message{sender: s.id, address: s.self}
 	size := 0
 	for _, statement := range statements {
-		if weight := weigh(statement); size > 0 && size+weight > sizeLimit {
+		if added := maxEncodedSize(statement); size > 0 && size+added > maxMessageSize {
 			s.send(m, []netip.AddrPort{address})
 			m.usage, size = nil, 0
 		}
 		m.usage = append(m.usage, statement)
-		size += weigh(statement)
+		size += maxEncodedSize(statement)
 	}
 	s.send(m, []netip.AddrPort{address})
 }
 
-// weigh returns an upper bound of the bytes of a statement with small counts.
-func weigh(s carawayspread.UsageStatement) int { return 16 + len(s.Counts)*(workspaceBytes+2) }
+// maxEncodedSize returns an upper bound of the encoded size, in bytes, of a statement with small
+// counts.
+func maxEncodedSize(s carawayspread.UsageStatement) int {
+	return 16 + len(s.Counts)*(workspaceBytes+2)
+}
 
-// receiveUsage hands on what a peer counted, and acknowledges the closed windows of which
-// all is known.
+// receiveUsage passes a peer's usage statements on, and acknowledges the closed windows whose counts
+// are completely known.
 func (s *Socket) receiveUsage(m message, r Receiver) {
 	var acks []int64
 	for _, statement := range m.usage {
