--- a/internal/connection/knowledge/learner.go
+++ b/internal/connection/knowledge/learner.go
@@ -1,13 +1,13 @@
 // Package knowledge lets a process learn routes and endpoints from its peers: from
-// the one that reads the platform's store for its zone, or from any where the store
-// does not answer.
+// the one that reads the platform's store for its zone, or from any peer while the
+// store does not answer.
 //
-// Load pattern: processes that start, all at once after a loss of power, while
-// the store is down or turns some of them away. Without it they refuse every
-// request until the store is back, though a peer knows where to send them; and a
-// process that is cut off from the store alone serves by routes that others have
-// left behind. Versions are the store's own, so that no clock is compared and
-// nothing older is taken.
+// It is needed by processes that start, perhaps all at once after a power failure, while
+// the store is down or rejects some of them. Without it they would refuse every request
+// until the store answers again, although a peer knows the routes, and a process that is
+// partitioned from the store alone would keep serving by routes that the others have already
+// replaced. Versions are assigned by the store, so no clocks are compared and an older
+// version never replaces a newer one.
 package knowledge
 
 import (
@@ -28,68 +28,69 @@
 )
 
 const (
-	// askEvery is the time between two looks. A store that answers does so in a
-	// tenth of it; routes learnt so are in force inside two seconds.
-	askEvery = 500 * time.Millisecond
-	// connectTime bounds the connection to a peer: many times a message's way, and less
-	// than a caller's patience.
-	connectTime = 400 * time.Millisecond
-	// silence bounds the time without a byte of a peer's answer. In it a small instance
-	// packs the largest configuration, and a link on which callers press passes
-	// something on.
-	silence = time.Second
-	// wholeTime is the end of any answer: by then the promise is lost and the store has
-	// been asked.
-	wholeTime = 15 * time.Second
-	// answerLimit bounds a peer's answer in bytes: several times the largest list or
+	// pollInterval is the time between two checks whether peers must be queried. A store that
+	// answers does so in a tenth of it. Routes learnt from peers are in use within two seconds.
+	pollInterval = 500 * time.Millisecond
+	// connectTimeout bounds connecting to a peer. It is many times the network latency, and less
+	// than callers wait.
+	connectTimeout = 400 * time.Millisecond
+	// idleTimeout bounds the time without a byte of a peer's answer. It is enough for a small
+	// instance to compress the largest configuration, and for a link that is busy with requests of
+	// callers to transfer something.
+	idleTimeout = time.Second
+	// totalTimeout bounds a whole transfer. By then the guaranteed time to apply a change has
+	// passed and the store has been queried.
+	totalTimeout = 15 * time.Second
+	// maxAnswerBytes bounds a peer's answer: several times the largest list of endpoints or
 	// configuration.
-	answerLimit = 16 << 20
-	// asked is how many peers are tried at one look: one may be cut off as well,
+	maxAnswerBytes = 16 << 20
+	// peersPerPoll is how many peers are tried in one poll: one may be partitioned as well, and
 	// one may have just started.
-	asked = 3
+	peersPerPoll = 3
 )
 
-// Holder keeps what is known.
+// Holder stores the knowledge of this process.
 type Holder interface {
-	// Have returns what is known of a matter.
-	Have(of carawayspread.Resource) carawayspread.ResourceStatus
-	// Known returns what is newer than these versions.
-	Known(routes, list uint64) carawayspread.Knowledge
-	// Learn takes what is newer than what it has, and reports whether it did.
+	// Have returns the status of a resource.
+	Have(resource carawayspread.Resource) carawayspread.ResourceStatus
+	// Known returns the resources that are newer than these versions.
+	Known(routes, endpoints uint64) carawayspread.Knowledge
+	// Learn adopts the resources that are newer than the stored ones, and reports whether there were
+	// any.
 	Learn(carawayspread.Knowledge) (bool, error)
-	// Lost reports whether what is known has not been confirmed for too long.
+	// Lost reports whether the knowledge has not been confirmed for too long.
 	Lost() bool
 }
 
-// Learner asks peers and answers theirs.
+// Learner queries peers and answers their queries.
 type Learner struct {
 	holder  Holder
-	peers   func() []string // addresses, IP number and port
+	peers   func() []string // IP addresses and ports
 	clock   carawayspread.Clock
 	log     log.Interface
 	learnt  *metrics.Counter
 	givenUp *metrics.Counter
 	bytes   *metrics.Counter
 	uptime  carawayspread.Uptime
-	observe func(asked, stamp time.Duration)
-	packer  *packer
-	// asking is held while a peer is asked for the matter.
-	asking [carawayspread.ResourceCount]sync.Mutex
+	observe func(requestedAt, storeTime time.Duration)
+	cache   *packCache
+	// pulling is held for a resource while a peer is queried for it.
+	pulling [carawayspread.ResourceCount]sync.Mutex
 }
 
 // Option sets an optional part of a Learner.
 type Option func(*Learner)
 
-// WithStoreTime has bounds of the store's steady clock observed that peers state, with
-// the uptime at which each was asked for.
-func WithStoreTime(uptime carawayspread.Uptime, observe func(asked, stamp time.Duration)) Option {
+// WithStoreTime sets a function that receives the bounds of the store's monotonic clock that peers
+// report, each with the uptime at which it was requested.
+func WithStoreTime(uptime carawayspread.Uptime, observe func(requestedAt, storeTime time.Duration)) Option {
 	return func(l *Learner) { l.uptime, l.observe = uptime, observe }
 }
 
-// New returns a learner for the holder.
+// New returns a Learner for the holder. The function peers returns IP addresses and ports.
 func New(holder Holder, peers func() []string, clock carawayspread.Clock, l log.Interface, set *metrics.Set, opts ...Option) *Learner {
 	learner := &Learner{
-		holder: holder, peers: peers, clock: clock, log: l, packer: newPacker(),
+		holder: holder, peers: peers, clock: clock, log: l, cache: newPackCache(),
 		learnt:  set.GetOrCreateCounter("gateway_learnt_from_peers_total"),
 		givenUp: set.GetOrCreateCounter("gateway_peer_transfers_given_up_total"),
 		bytes:   set.GetOrCreateCounter("gateway_peer_transfer_bytes_total"),
@@ -100,14 +101,15 @@
 	return learner
 }
 
-// Handler answers peers.
+// Handler returns the HTTP handler for queries of peers.
 func (l *Learner) Handler() http.Handler { return NewKnowledgeServer(l) }
 
-// Newer implements the service.
+// Newer implements the Knowledge service. A caller that does not accept changes gets the complete
+// routes.
 func (l *Learner) Newer(_ context.Context, req *NewerRequest) (*NewerResponse, error) {
 	routes := req.Routes
-	if have := l.holder.Have(carawayspread.ResourceRoutes).Version; !req.Changes && have > routes {
-		routes = 0 // the whole
+	if own := l.holder.Have(carawayspread.ResourceRoutes).Version; !req.Changes && own > routes {
+		routes = 0 // complete routes
 	}
 	known := l.holder.Known(routes, req.List)
 	return &NewerResponse{
@@ -117,155 +119,157 @@
 	}, nil
 }
 
-// Run asks until ctx ends.
+// Run queries peers whenever the holder's knowledge is stale, until ctx ends.
 func (l *Learner) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-l.clock.After(askEvery*9/10 + rand.N(askEvery/5)):
+		case <-l.clock.After(pollInterval*9/10 + rand.N(pollInterval/5)):
 		}
 		if l.holder.Lost() {
-			l.ask(ctx)
+			l.pollPeers(ctx)
 		}
 	}
 }
 
-// ask tries peers in random order until one brings something new.
-func (l *Learner) ask(ctx context.Context) {
+// pollPeers queries peers in random order until one has something newer.
+func (l *Learner) pollPeers(ctx context.Context) {
 	peers := l.peers()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	for _, peer := range peers[:min(asked, len(peers))] {
-		if l.askAll(ctx, peer) {
+	for _, peer := range peers[:min(peersPerPoll, len(peers))] {
+		if l.pullAll(ctx, peer) {
 			return
 		}
 	}
 }
 
-// askAll asks a peer for each matter at once, and reports whether it brought something
-// new and nothing that cannot be read.
-func (l *Learner) askAll(ctx context.Context, peer string) bool {
+// pullAll queries a peer for all resources concurrently. It reports whether the peer had something
+// newer and nothing failed.
+func (l *Learner) pullAll(ctx context.Context, peer string) bool {
 	var learnt [carawayspread.ResourceCount]bool
 	var errs [carawayspread.ResourceCount]error
-	var asking sync.WaitGroup
-	for of := range carawayspread.ResourceCount {
-		asking.Go(func() { learnt[of], errs[of] = l.learn(ctx, peer, of) })
+	var pulls sync.WaitGroup
+	for resource := range carawayspread.ResourceCount {
+		pulls.Go(func() { learnt[resource], errs[resource] = l.learn(ctx, peer, resource) })
 	}
-	asking.Wait()
+	pulls.Wait()
 	return slices.Contains(learnt[:], true) && errors.Join(errs[:]...) == nil
 }
 
-// Pull has one peer hand on what is newer of a matter.
-func (l *Learner) Pull(ctx context.Context, peer string, of carawayspread.Resource) error {
-	_, err := l.learn(ctx, peer, of)
+// Pull learns a newer version of a resource from one peer. It returns ErrTooSoon if another pull of
+// the resource is running.
+func (l *Learner) Pull(ctx context.Context, peer string, resource carawayspread.Resource) error {
+	_, err := l.learn(ctx, peer, resource)
 	return err
 }
 
-// PullStoreTime has a peer bound the store's steady clock, and hands nothing else on.
+// PullStoreTime queries a peer only for its bound of the store's monotonic clock.
 func (l *Learner) PullStoreTime(ctx context.Context, peer string) error {
-	_, err := l.newer(ctx, peer, storeTime, &NewerRequest{Routes: math.MaxUint64, List: math.MaxUint64})
+	_, err := l.query(ctx, peer, aboutStoreTime, &NewerRequest{Routes: math.MaxUint64, List: math.MaxUint64})
 	return err
 }
 
-// storeTime is what a question for the store's clock alone is about, in logs.
-const storeTime = "storeTime"
+// aboutStoreTime stands for the resource in the logs of queries for the store's clock alone.
+const aboutStoreTime = "storeTime"
 
-// answer is what a peer hands on.
+// answer is the response of a peer.
 type answer struct {
 	*NewerResponse
 	received int64 // bytes
 	took     time.Duration
 }
 
-// newer asks a peer, and takes its bound on the store's clock.
-func (l *Learner) newer(ctx context.Context, peer string, about string, req *NewerRequest) (answer, error) {
-	var asked time.Duration
+// query sends a request to a peer, and reports its bound of the store's clock to the observer.
+func (l *Learner) query(ctx context.Context, peer string, about string, req *NewerRequest) (answer, error) {
+	var requestedAt time.Duration
 	if l.observe != nil {
-		asked = l.uptime.Uptime()
+		requestedAt = l.uptime.Uptime()
 	}
-	begun := l.clock.Now()
-	way := transfer.New(transfer.Limits{ConnectTimeout: connectTime, IdleTimeout: silence, TotalTimeout: wholeTime, MaxBytes: answerLimit})
-	got, err := NewKnowledgeProtobufClient("http://"+peer, way.Client()).Newer(ctx, req)
-	received, took := way.Received(), l.clock.Now().Sub(begun)
+	start := l.clock.Now()
+	fetch := transfer.New(transfer.Limits{ConnectTimeout: connectTimeout, IdleTimeout: idleTimeout, TotalTimeout: totalTimeout, MaxBytes: maxAnswerBytes})
+	got, err := NewKnowledgeProtobufClient("http://"+peer, fetch.Client()).Newer(ctx, req)
+	received, took := fetch.Received(), l.clock.Now().Sub(start)
 	l.bytes.AddInt64(received)
 	if err != nil && ctx.Err() == nil {
 		l.givenUp.Inc()
 		l.log.WithError(err).WithField("peer", peer).WithField("of", about).
-			WithField("bytes", received).WithField("ms", took.Milliseconds()).Warn("peer hands nothing on")
+			WithField("bytes", received).WithField("ms", took.Milliseconds()).Warn("cannot learn from a peer")
 	}
 	if err == nil && l.observe != nil {
-		l.observe(asked, time.Duration(got.StoreMs)*time.Millisecond)
+		l.observe(requestedAt, time.Duration(got.StoreMs)*time.Millisecond)
 	}
 	return answer{got, received, took}, err
 }
 
-// learn takes what the peer knows of a matter, and reports whether it was newer. One
-// peer at a time is asked for a matter: the same would arrive twice.
-func (l *Learner) learn(ctx context.Context, peer string, of carawayspread.Resource) (bool, error) {
-	if !l.asking[of].TryLock() {
+// learn adopts the peer's version of a resource, and reports whether it was newer. Only one peer at a
+// time is queried for a resource, because two would send the same.
+func (l *Learner) learn(ctx context.Context, peer string, resource carawayspread.Resource) (bool, error) {
+	if !l.pulling[resource].TryLock() {
 		return false, carawayspread.ErrTooSoon
 	}
-	defer l.asking[of].Unlock()
-	return l.learnSince(ctx, peer, of, l.holder.Have(of).Version)
+	defer l.pulling[resource].Unlock()
+	return l.learnSince(ctx, peer, resource, l.holder.Have(resource).Version)
 }
 
-// learnSince takes changes since that version, and the whole where they do not fit.
-func (l *Learner) learnSince(ctx context.Context, peer string, of carawayspread.Resource, version uint64) (bool, error) {
+// learnSince adopts the changes since that version, or the complete resource if they do not apply.
+func (l *Learner) learnSince(ctx context.Context, peer string, resource carawayspread.Resource, version uint64) (bool, error) {
 	req := &NewerRequest{Routes: math.MaxUint64, List: math.MaxUint64, Changes: true}
-	if of == carawayspread.ResourceRoutes {
+	if resource == carawayspread.ResourceRoutes {
 		req.Routes = version
 	} else {
 		req.List = version
 	}
-	got, err := l.newer(ctx, peer, of.String(), req)
+	got, err := l.query(ctx, peer, resource.String(), req)
 	if err != nil {
 		return false, err
 	}
-	learnt, err := l.take(got.NewerResponse)
+	learnt, err := l.adopt(got.NewerResponse)
 	if errors.Is(err, carawayspread.ErrDeltaMismatch) && version > 0 {
-		return l.learnSince(ctx, peer, of, 0)
+		return l.learnSince(ctx, peer, resource, 0)
 	}
 	if err != nil {
-		l.log.WithError(err).WithField("peer", peer).Warn("what a peer hands on cannot be read")
+		l.log.WithError(err).WithField("peer", peer).Warn("the answer of a peer cannot be adopted")
 		return learnt, err
 	}
 	if learnt {
 		l.learnt.Inc()
 		d := got.GetRoutes()
-		if of == carawayspread.ResourceEndpoints {
+		if resource == carawayspread.ResourceEndpoints {
 			d = got.GetList()
 		}
-		l.log.WithField("peer", peer).WithField("of", of.String()).WithField("version", d.GetVersion()).
+		l.log.WithField("peer", peer).WithField("of", resource.String()).WithField("version", d.GetVersion()).
 			WithField("since", d.GetSince()).WithField("bytes", got.received).WithField("ms", got.took.Milliseconds()).Info("learnt from a peer")
 	}
 	return learnt, nil
 }
 
-// take takes a peer's answer.
-func (l *Learner) take(got *NewerResponse) (bool, error) {
+// adopt decodes a peer's answer and passes it to the holder.
+func (l *Learner) adopt(got *NewerResponse) (bool, error) {
 	routes, err := fromWire(got.Routes)
 	if err != nil {
 		return false, err
 	}
-	list, err := fromWire(got.List)
+	endpoints, err := fromWire(got.List)
 	if err != nil {
 		return false, err
 	}
-	return l.holder.Learn(carawayspread.Knowledge{Routes: routes, Endpoints: list})
+	return l.holder.Learn(carawayspread.Knowledge{Routes: routes, Endpoints: endpoints})
 }
 
-// toWire returns a document for a peer, packed where the peer takes that and it pays.
-func (l *Learner) toWire(of carawayspread.Resource, d carawayspread.Document, packs bool) *Document {
+// toWire returns a document for a peer, compressed if the peer accepts that and the body is long
+// enough.
+func (l *Learner) toWire(resource carawayspread.Resource, d carawayspread.Document, acceptsPacked bool) *Document {
 	if d.Version == 0 {
 		return nil
 	}
 	wire := &Document{Version: d.Version, Since: d.Since, Body: d.Body}
-	if !packs || len(d.Body) < packLeast {
+	if !acceptsPacked || len(d.Body) < minPackedBody {
 		return wire
 	}
-	packed, err := l.packer.pack(of, d)
+	packed, err := l.cache.pack(resource, d)
 	if err != nil {
-		l.log.WithError(err).WithField("of", of.String()).Error("cannot be packed")
+		l.log.WithError(err).WithField("of", resource.String()).Error("a document cannot be compressed")
 		return wire
 	}
 	wire.Body, wire.Packed = packed, true
@@ -276,7 +280,7 @@
 	body := d.GetBody()
 	if d.GetPacked() {
 		var err error
-		if body, err = transfer.Unpack(body, unpackedLimit); err != nil {
+		if body, err = transfer.Unpack(body, maxUnpackedBytes); err != nil {
 			return carawayspread.Document{}, err
 		}
 	}
--- a/internal/connection/knowledge/learner_test.go
+++ b/internal/connection/knowledge/learner_test.go
@@ -19,36 +19,36 @@
 	"carawayspread/internal/connection/transfer"
 )
 
-// holder knows by versions and refuses a body that says so.
+// holder keeps resources by version and rejects routes whose body is "broken".
 type holder struct {
-	mu    sync.Mutex
-	known carawayspread.Knowledge
-	lost  bool
-	asked int
-	whole bool // only the whole list fits
+	mu           sync.Mutex
+	known        carawayspread.Knowledge
+	lost         bool
+	queries      int
+	completeOnly bool // changes to the list do not apply
 }
 
-func (h *holder) Known(routes, list uint64) carawayspread.Knowledge {
+func (h *holder) Known(routes, endpoints uint64) carawayspread.Knowledge {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.asked++
+	h.queries++
 	var newer carawayspread.Knowledge
 	if h.known.Routes.Version > routes {
 		newer.Routes = h.known.Routes
 	}
-	if h.known.Endpoints.Version > list {
+	if h.known.Endpoints.Version > endpoints {
 		newer.Endpoints = h.known.Endpoints
-		if h.whole && list > 0 {
+		if h.completeOnly && endpoints > 0 {
 			newer.Endpoints.Body = []byte("changes")
 		}
 	}
 	return newer
 }
 
-func (h *holder) Have(of carawayspread.Resource) carawayspread.ResourceStatus {
+func (h *holder) Have(resource carawayspread.Resource) carawayspread.ResourceStatus {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if of == carawayspread.ResourceEndpoints {
+	if resource == carawayspread.ResourceEndpoints {
 		return carawayspread.ResourceStatus{Version: h.known.Endpoints.Version}
 	}
 	return carawayspread.ResourceStatus{Version: h.known.Routes.Version}
@@ -60,7 +60,7 @@
 	if string(k.Routes.Body) == "broken" {
 		return false, errors.New("broken")
 	}
-	if h.whole && string(k.Endpoints.Body) == "changes" {
+	if h.completeOnly && string(k.Endpoints.Body) == "changes" {
 		return false, carawayspread.ErrDeltaMismatch
 	}
 	learnt := false
@@ -91,54 +91,54 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// Callers of a process without the store are served by what any peer knows: one
-// is gone, one hands on what cannot be read, one knows nothing, one knows.
-func TestOneOfThePeersKnows(t *testing.T) {
-	knows := &holder{known: carawayspread.Knowledge{Routes: document(7, "routes"), Endpoints: document(20, "list")}}
+// A process that the store does not answer learns from any peer that knows the routes, also if
+// another peer does not respond, sends routes that cannot be adopted or knows nothing.
+func TestLearnsFromAnyPeer(t *testing.T) {
+	peer := &holder{known: carawayspread.Knowledge{Routes: document(7, "routes"), Endpoints: document(20, "list")}}
 	broken := &holder{known: carawayspread.Knowledge{Routes: document(9, "broken")}}
 	for _, other := range []string{"127.0.0.1:1", serve(t, broken), serve(t, &holder{})} {
-		for range 12 { // in either order
+		for range 12 { // in either query order
 			h := &holder{lost: true}
-			l := learner(h, other, serve(t, knows))
-			l.ask(context.Background())
-			qt.Assert(t, h.known, qt.DeepEquals, knows.known)
-			l.ask(context.Background()) // nothing is newer
-			qt.Assert(t, h.known, qt.DeepEquals, knows.known)
+			l := learner(h, other, serve(t, peer))
+			l.pollPeers(context.Background())
+			qt.Assert(t, h.known, qt.DeepEquals, peer.known)
+			l.pollPeers(context.Background()) // nothing is newer
+			qt.Assert(t, h.known, qt.DeepEquals, peer.known)
 		}
 	}
 }
 
-// A process that has missed something between two peers asks for the whole where the
-// changes do not fit.
-func TestWholeListWhereChangesDoNotFit(t *testing.T) {
-	knows := &holder{known: carawayspread.Knowledge{Endpoints: document(20, "list")}, whole: true}
-	h := &holder{known: carawayspread.Knowledge{Endpoints: document(5, "old")}, whole: true}
-	qt.Assert(t, learner(h).Pull(context.Background(), serve(t, knows), carawayspread.ResourceEndpoints), qt.IsNil)
+// A process that missed a version requests the complete list if the peer's changes do not apply to
+// the version that it holds.
+func TestCompleteListIfChangesDoNotApply(t *testing.T) {
+	peer := &holder{known: carawayspread.Knowledge{Endpoints: document(20, "list")}, completeOnly: true}
+	h := &holder{known: carawayspread.Knowledge{Endpoints: document(5, "old")}, completeOnly: true}
+	qt.Assert(t, learner(h).Pull(context.Background(), serve(t, peer), carawayspread.ResourceEndpoints), qt.IsNil)
 	qt.Check(t, string(h.known.Endpoints.Body), qt.Equals, "list")
 }
 
-// Only what is newer travels.
-func TestNewerAlone(t *testing.T) {
-	knows := &holder{known: carawayspread.Knowledge{Routes: document(7, "routes"), Endpoints: document(20, "list")}}
-	got, err := learner(knows).Newer(context.Background(), &NewerRequest{Routes: 7, List: 19})
+// Only resources with a newer version are sent.
+func TestOnlyNewerResourcesAreSent(t *testing.T) {
+	peer := &holder{known: carawayspread.Knowledge{Routes: document(7, "routes"), Endpoints: document(20, "list")}}
+	got, err := learner(peer).Newer(context.Background(), &NewerRequest{Routes: 7, List: 19})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, got.Routes, qt.IsNil)
 	qt.Check(t, string(got.List.Body), qt.Equals, "list")
 }
 
-// Peers are left alone while the store answers.
-func TestNobodyIsAskedBesideTheStore(t *testing.T) {
-	knows := &holder{known: carawayspread.Knowledge{Routes: document(7, "routes")}}
+// Peers are not queried while the store answers.
+func TestPeersAreNotQueriedWhileStoreAnswers(t *testing.T) {
+	peer := &holder{known: carawayspread.Knowledge{Routes: document(7, "routes")}}
 	h := &holder{}
-	l := learner(h, serve(t, knows))
-	ctx, cancel := context.WithTimeout(context.Background(), 3*askEvery)
+	l := learner(h, serve(t, peer))
+	ctx, cancel := context.WithTimeout(context.Background(), 3*pollInterval)
 	defer cancel()
 	qt.Check(t, errors.Is(l.Run(ctx), context.DeadlineExceeded), qt.IsTrue)
-	qt.Check(t, knows.asked, qt.Equals, 0)
+	qt.Check(t, peer.queries, qt.Equals, 0)
 	qt.Check(t, h.known, qt.DeepEquals, carawayspread.Knowledge{})
 }
 
-// older is a process that knows nothing of changes and packed bodies.
+// older is a process of an older release, which supports neither changes nor compressed bodies.
 type older struct{ known carawayspread.Knowledge }
 
 func (o older) Newer(_ context.Context, req *NewerRequest) (*NewerResponse, error) {
@@ -152,16 +152,16 @@
 	return got, nil
 }
 
-// Guards against a rolling release in which processes of two versions learn nothing from
-// one another.
-func TestOlderProcessesUnderstandOneAnother(t *testing.T) {
+// Guards against a rolling release during which processes of the two releases cannot learn from each
+// other.
+func TestCompatibleWithOlderProcesses(t *testing.T) {
 	known := carawayspread.Knowledge{Routes: document(7, strings.Repeat("routes", 1000)), Endpoints: document(20, strings.Repeat("list", 1000))}
 	server := httptest.NewServer(NewKnowledgeServer(older{known}))
 	t.Cleanup(server.Close)
 	h := &holder{}
 	l := learner(h)
-	for of := range carawayspread.ResourceCount {
-		qt.Assert(t, l.Pull(context.Background(), strings.TrimPrefix(server.URL, "http://"), of), qt.IsNil)
+	for resource := range carawayspread.ResourceCount {
+		qt.Assert(t, l.Pull(context.Background(), strings.TrimPrefix(server.URL, "http://"), resource), qt.IsNil)
 	}
 	qt.Check(t, h.known, qt.DeepEquals, known)
 
@@ -174,59 +174,61 @@
 	qt.Check(t, got.Routes.Packed || got.List.Packed, qt.IsFalse)
 }
 
-// forged answers whatever it is told to.
-type forged struct{ answer *NewerResponse }
+// fixedAnswer sends the same answer to every request.
+type fixedAnswer struct{ answer *NewerResponse }
 
-func (f forged) Newer(context.Context, *NewerRequest) (*NewerResponse, error) { return f.answer, nil }
+func (f fixedAnswer) Newer(context.Context, *NewerRequest) (*NewerResponse, error) {
+	return f.answer, nil
+}
 
-// Guards against memory that a peer's answer fills, and against an answer that cannot be
-// read and is taken in part: each ends with an error, and another peer is asked.
-func TestAnswersThatCannotBeTaken(t *testing.T) {
-	p := newPacker()
+// Guards against answers that exhaust the memory, and against invalid answers that are adopted in part.
+// Each must end with an error, and another peer can be queried afterwards.
+func TestInvalidAnswersAreRejected(t *testing.T) {
+	c := newPackCache()
 	packed := func(body []byte) []byte {
-		b, err := p.pack(carawayspread.ResourceRoutes, carawayspread.Document{Body: body})
+		b, err := c.pack(carawayspread.ResourceRoutes, carawayspread.Document{Body: body})
 		qt.Assert(t, err, qt.IsNil)
 		return b
 	}
-	good := packed(bytes.Repeat([]byte("routes"), 1000))
+	valid := packed(bytes.Repeat([]byte("routes"), 1000))
 	for name, body := range map[string][]byte{
-		"no gzip":           []byte("routes"),
-		"cut off":           good[:len(good)-9],
-		"bursts":            packed(make([]byte, unpackedLimit+1)),
-		"larger than taken": make([]byte, answerLimit),
+		"not gzip":               []byte("routes"),
+		"truncated":              valid[:len(valid)-9],
+		"decompressed too large": packed(make([]byte, maxUnpackedBytes+1)),
+		"too large":              make([]byte, maxAnswerBytes),
 	} {
 		t.Run(name, func(t *testing.T) {
-			server := httptest.NewServer(NewKnowledgeServer(forged{&NewerResponse{Routes: &Document{Version: 9, Body: body, Packed: true}}}))
+			server := httptest.NewServer(NewKnowledgeServer(fixedAnswer{&NewerResponse{Routes: &Document{Version: 9, Body: body, Packed: true}}}))
 			t.Cleanup(server.Close)
 			h := &holder{known: carawayspread.Knowledge{Routes: document(7, "routes")}}
 			l := learner(h)
 			qt.Check(t, l.Pull(context.Background(), strings.TrimPrefix(server.URL, "http://"), carawayspread.ResourceRoutes), qt.IsNotNil)
 			qt.Check(t, string(h.known.Routes.Body), qt.Equals, "routes")
-			knows := &holder{known: carawayspread.Knowledge{Routes: document(9, "newer")}}
-			qt.Check(t, l.Pull(context.Background(), serve(t, knows), carawayspread.ResourceRoutes), qt.IsNil)
+			peer := &holder{known: carawayspread.Knowledge{Routes: document(9, "newer")}}
+			qt.Check(t, l.Pull(context.Background(), serve(t, peer), carawayspread.ResourceRoutes), qt.IsNil)
 			qt.Check(t, string(h.known.Routes.Body), qt.Equals, "newer")
 		})
 	}
 }
 
-// What many processes ask for is packed once, and little is kept.
-func TestPackedOnce(t *testing.T) {
-	p := newPacker()
+// A body that many processes request is compressed once, and few results are kept.
+func TestBodyIsCompressedOnce(t *testing.T) {
+	c := newPackCache()
 	body := bytes.Repeat([]byte("routes"), 1000)
-	first, err := p.pack(carawayspread.ResourceRoutes, carawayspread.Document{Version: 1, Body: body})
+	first, err := c.pack(carawayspread.ResourceRoutes, carawayspread.Document{Version: 1, Body: body})
 	qt.Assert(t, err, qt.IsNil)
-	again, err := p.pack(carawayspread.ResourceRoutes, carawayspread.Document{Version: 1, Body: bytes.Clone(body)})
+	again, err := c.pack(carawayspread.ResourceRoutes, carawayspread.Document{Version: 1, Body: bytes.Clone(body)})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, &first[0], qt.Equals, &again[0])
-	other, err := p.pack(carawayspread.ResourceRoutes, carawayspread.Document{Version: 1, Body: []byte("other")})
+	other, err := c.pack(carawayspread.ResourceRoutes, carawayspread.Document{Version: 1, Body: []byte("other")})
 	qt.Assert(t, err, qt.IsNil)
-	unpacked, err := transfer.Unpack(other, unpackedLimit)
+	unpacked, err := transfer.Unpack(other, maxUnpackedBytes)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, string(unpacked), qt.Equals, "other")
 	for version := range uint64(100) {
-		_, err := p.pack(carawayspread.ResourceEndpoints, carawayspread.Document{Version: version, Body: body})
+		_, err := c.pack(carawayspread.ResourceEndpoints, carawayspread.Document{Version: version, Body: body})
 		qt.Assert(t, err, qt.IsNil)
 	}
-	qt.Check(t, p.kept, qt.HasLen, packedKept)
-	qt.Check(t, p.names, qt.HasLen, packedKept)
+	qt.Check(t, c.kept, qt.HasLen, packCacheSize)
+	qt.Check(t, c.keys, qt.HasLen, packCacheSize)
 }
--- a/internal/connection/knowledge/packing.go
+++ b/internal/connection/knowledge/packing.go
@@ -9,50 +9,52 @@
 )
 
 const (
-	// packLeast is the shortest body that is packed, in bytes: a packet or two.
-	packLeast = 2 << 10
-	// unpackedLimit bounds what a packed body may hold, in bytes: several times the
-	// largest configuration or list.
-	unpackedLimit = 32 << 20
-	// packedKept are the packed bodies that are kept: of each matter the whole and the
-	// changes since the version before, as many processes ask for the same.
-	packedKept = 4
+	// minPackedBody is the shortest body that is compressed, in bytes: one or two packets.
+	minPackedBody = 2 << 10
+	// maxUnpackedBytes bounds a decompressed body: several times the largest configuration or list
+	// of endpoints.
+	maxUnpackedBytes = 32 << 20
+	// packCacheSize is how many compressed bodies are kept: for each resource the complete body and
+	// the changes since the previous version, because many processes request the same.
+	packCacheSize = 4
 )
 
-// name tells bodies apart.
-type name struct {
-	of             carawayspread.Resource
+// packKey identifies a body.
+type packKey struct {
+	resource       carawayspread.Resource
 	version, since uint64
-	sum            uint64 // of the body: a list may be read twice at one version
+	sum            uint64 // hash of the body, because the list may be read twice at one version
 }
 
-// packer packs bodies with gzip, each once. It is safe for concurrent use.
-type packer struct {
-	seed  maphash.Seed
-	mu    sync.Mutex
-	names []name // oldest first
-	kept  map[name][]byte
+// packCache compresses bodies with gzip and keeps the newest results. It is safe for concurrent use.
+type packCache struct {
+	seed maphash.Seed
+	mu   sync.Mutex
+	keys []packKey // oldest first
+	kept map[packKey][]byte
 }
 
-func newPacker() *packer { return &packer{seed: maphash.MakeSeed(), kept: map[name][]byte{}} }
+func newPackCache() *packCache {
+	return &packCache{seed: maphash.MakeSeed(), kept: map[packKey][]byte{}}
+}
 
-// pack returns the body packed. Others who want the same wait.
-func (p *packer) pack(of carawayspread.Resource, d carawayspread.Document) ([]byte, error) {
-	n := name{of: of, version: d.Version, since: d.Since, sum: maphash.Bytes(p.seed, d.Body)}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if packed, ok := p.kept[n]; ok {
+// pack returns the compressed body. Concurrent calls wait, so that the same body is compressed once.
+func (c *packCache) pack(resource carawayspread.Resource, d carawayspread.Document) ([]byte, error) {
+	k := packKey{resource: resource, version: d.Version, since: d.Since, sum: maphash.Bytes(c.seed, d.Body)}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if packed, ok := c.kept[k]; ok {
 		return packed, nil
 	}
 	packed, err := transfer.Pack(d.Body)
 	if err != nil {
 		return nil, err
 	}
-	if len(p.names) == packedKept {
-		delete(p.kept, p.names[0])
-		p.names = p.names[1:]
+	if len(c.keys) == packCacheSize {
+		delete(c.kept, c.keys[0])
+		c.keys = c.keys[1:]
 	}
-	p.names = append(p.names, n)
-	p.kept[n] = packed
+	c.keys = append(c.keys, k)
+	c.kept[k] = packed
 	return packed, nil
 }
