--- a/internal/process/ledger/bench_test.go
+++ b/internal/process/ledger/bench_test.go
@@ -17,8 +17,8 @@
 	"carawayspread/internal/standin/table"
 )
 
-// BenchmarkRequests claims and ends requests through several entries against a
-// store of 5 ms, and reports how many requests each costs at the platform.
+// BenchmarkRequests claims and completes requests through several entries against a store with a
+// latency of 5 ms, and reports the number of platform requests per run.
 func BenchmarkRequests(b *testing.B) {
 	tests := map[string]struct{ entries, callers int }{
 		"one entry, 1 caller":         {1, 1},
--- a/internal/process/ledger/claim.go
+++ b/internal/process/ledger/claim.go
@@ -12,73 +12,71 @@
 	"carawayspread/internal/process/entry"
 )
 
-// Claim is the right to run one request. Its methods return nil where the caller
-// may be told what was recorded, and else the *carawayspread.Error to tell.
+// Claim is the right to run one request. Its methods return nil if the caller may be told the
+// outcome that was to be recorded, and otherwise the *carawayspread.Error to report instead.
 type Claim struct {
 	ledger   *Ledger
 	key      carawayspread.Key
-	rev      uint64    // of the claim
-	hash     uint64    // of the request
-	deadline time.Time // from then on others may write unknown
-	// unsure is set once the record of a whole answer may or may not have been
-	// written: the record may then be done, and nothing else may be said of it.
-	unsure atomic.Bool
+	rev      uint64    // of the claim's record
+	hash     uint64    // fingerprint of the request
+	deadline time.Time // afterwards other requests may write unknown
+	// mayBeDone is set once the record of a complete answer may or may not have been written. The
+	// record may then be done, so no other outcome may be reported.
+	mayBeDone atomic.Bool
 }
 
-// Done records the whole answer.
+// Done records the complete answer.
 //
-// Failure: the store cannot be reached when the answer is whole. Before the
-// deadline nobody can have been told unknown, so the caller gets its answer,
-// and the record is written later. After the deadline a retry may have been
-// told unknown: what the record shows must be seen first.
+// If the store cannot be reached and the deadline is not near, no retry can have been told unknown
+// yet: the caller gets its answer, and the record is written later. After the deadline a retry may
+// have been told unknown, so the answer may not be delivered until the record has been read.
 func (c *Claim) Done(ctx context.Context, answer entry.Stored) error {
-	end, err := c.ledger.keepAnswer(ctx, c, answer)
+	outcome, err := c.ledger.storeAnswer(ctx, c, answer)
 	if err != nil {
-		// The answer cannot be kept. Its caller gets it; a retry is told unknown.
-		end = record{State: unknown, Hash: c.hash}
+		// The answer cannot be stored. This caller still gets it; a retry is told unknown.
+		outcome = record{State: unknown, Hash: c.hash}
 	}
-	known, err := c.finish(ctx, end)
+	known, err := c.writeOutcome(ctx, outcome)
 	if known {
 		return err
 	}
-	if c.ledger.clock.Now().Before(c.deadline.Add(-2 * skew)) {
+	if c.ledger.clock.Now().Before(c.deadline.Add(-2 * maxClockSkew)) {
 		return nil
 	}
-	c.unsure.Store(true)
+	c.mayBeDone.Store(true)
 	return unavailable(err)
 }
 
-// Failed records that the request is proved not to have run. Where the record
-// cannot be written, that is still true: only this claimant may send, and it
-// will not.
+// Failed records that the request is proven not to have run. This remains true if the record cannot
+// be written: only this claimant may send the request, and it will not.
 func (c *Claim) Failed(ctx context.Context) error {
-	known, err := c.finish(ctx, record{State: notRun, Hash: c.hash})
+	known, err := c.writeOutcome(ctx, record{State: notRun, Hash: c.hash})
 	if known {
 		return err
 	}
 	return nil
 }
 
-// Unknown records that the outcome cannot be known. Where the record cannot be
-// written, it ends as unknown by its deadline, since nobody else writes another
-// end, unless an answer may have been recorded before.
+// Unknown records that the outcome cannot be known. If the record cannot be written, it becomes
+// unknown after its deadline, since nobody else writes another outcome, unless an answer may have
+// been recorded before.
 func (c *Claim) Unknown(ctx context.Context) error {
-	known, err := c.finish(ctx, record{State: unknown, Hash: c.hash})
+	known, err := c.writeOutcome(ctx, record{State: unknown, Hash: c.hash})
 	if known {
 		return err
 	}
-	if c.unsure.Load() {
+	if c.mayBeDone.Load() {
 		return unavailable(err)
 	}
 	return nil
 }
 
-// finish writes the end on the revision of the claim. known is false where
-// neither the write nor the read-back tells what the record shows.
-func (c *Claim) finish(ctx context.Context, end record) (known bool, err error) {
-	end = c.ledger.ended(end)
+// writeOutcome writes the outcome if the record still has the revision of the claim. known is false
+// if neither the write nor reading the record back shows what the record holds.
+func (c *Claim) writeOutcome(ctx context.Context, outcome record) (known bool, err error) {
+	outcome = c.ledger.withExpiry(outcome)
 	token := uuid.NewString()
-	err = c.ledger.put(ctx, c.key, c.rev, token, end)
+	err = c.ledger.put(ctx, c.key, c.rev, token, outcome)
 	if err == nil {
 		return true, nil
 	}
@@ -87,16 +85,16 @@
 	case readErr == nil && item.Token == token:
 		return true, nil
 	case readErr == nil && item.Rev > c.rev:
-		return true, c.shown(item)
+		return true, c.conflictError(item)
 	case errors.Is(err, carawayspread.ErrCondition):
 		return true, unknownOutcome()
 	}
-	c.ledger.later.add(pending{key: c.key, rev: c.rev, end: end})
+	c.ledger.queue.add(pendingOutcome{key: c.key, rev: c.rev, outcome: outcome})
 	return false, err
 }
 
-// shown returns what to tell where the record has moved on without this claim.
-func (c *Claim) shown(item carawayspread.Item) error {
+// conflictError returns the error to report if the record was changed by someone else.
+func (c *Claim) conflictError(item carawayspread.Item) error {
 	r, err := decode(item)
 	switch {
 	case err != nil:
@@ -105,5 +103,5 @@
 		return unknownOutcome()
 	}
 	return carawayspread.NewError(carawayspread.CodeInProgress,
-		"another sending with this idempotency key goes on", carawayspread.RetryAfter(busyRetry))
+		"another sending with this idempotency key goes on", carawayspread.RetryAfter(inProgressRetryAfter))
 }
--- a/internal/process/ledger/doc.go
+++ b/internal/process/ledger/doc.go
@@ -1,21 +1,22 @@
-// Package ledger makes a request run at most once in the whole fleet.
+// Package ledger ensures that a request with an idempotency key runs at most once in the whole
+// fleet.
 //
-// Failure: a caller gets no answer to a request that is not idempotent and
-// sends it again, through another entry. Symptom: a receipt is issued twice.
-// Before the first attempt an entry claims the idempotency key in the table
-// service, with a write that succeeds only where there is no record. Only the
-// claimant sends, and the record keeps how it ended:
+// A caller that receives no answer to a request that is not idempotent retries it, perhaps through
+// another entry. Without the ledger the retry would run too, and a receipt would be issued twice.
+// Before the first attempt an entry therefore claims the idempotency key in the table service, with
+// a write that succeeds only if there is no record. Only the claimant sends the request to
+// endpoints, and the record holds its outcome:
 //
-//	claimed   the claimant is at work, or was lost
-//	done      with the answer, which is replayed to every retry
-//	notRun    proved not to have run; the next sending may claim again
-//	unknown   final: whether it ran cannot be known
+//	claimed   the claimant is running the request, or was lost
+//	done      stored with the answer, which is replayed to every retry
+//	notRun    proven not to have run; the next retry may claim the key again
+//	unknown   final: whether the request ran cannot be known
 //
-// A claim past its deadline becomes unknown by whoever asks next. Its claimant
-// may still be at work; its end is then refused by the revision, and it tells
-// its caller unknown as well. Deadlines are wall-clock times: a clock that is
-// wrong makes a claim unknown too early or too late, and nothing run twice.
+// The next request that reads a claim past its deadline changes it to unknown. The claimant may
+// still be running; the write of its outcome then fails the revision check, and it reports unknown
+// to its caller as well. Deadlines are wall-clock times: a wrong clock changes a claim to unknown
+// too early or too late, but never makes a request run twice.
 //
-// "Not run" is said of the key, not of one sending. Where the record cannot be
-// read, an earlier sending may have run, and the refusal does not say it.
+// "Not run" is a statement about the key, not about one request with that key. If the record cannot
+// be read, an earlier request may have run, so the refusal does not state "not run".
 package ledger
--- a/internal/process/ledger/ledger_test.go
+++ b/internal/process/ledger/ledger_test.go
@@ -23,49 +23,49 @@
 )
 
 func TestMain(m *testing.M) {
-	// The same schedules on every run, and no files left behind.
+	// The fixed seed makes every run use the same schedules; no failure files are written.
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
 	os.Exit(m.Run())
 }
 
-// store is the table; reads fail with unread, and the next write is held back
-// where late asks for it.
+// store is a table whose reads fail with readErr if it is set, and whose next write is delayed if
+// delayNext is set.
 type store struct {
 	carawayspread.Table
-	service *table.Table
-	unread  error
-	late    bool
-	held    [][]carawayspread.Write
+	service   *table.Table
+	readErr   error
+	delayNext bool
+	delayed   [][]carawayspread.Write
 }
 
 func (s *store) Get(ctx context.Context, key carawayspread.Key) (carawayspread.Item, error) {
-	if s.unread != nil {
-		return carawayspread.Item{}, s.unread
+	if s.readErr != nil {
+		return carawayspread.Item{}, s.readErr
 	}
 	return s.Table.Get(ctx, key)
 }
 
 func (s *store) Apply(ctx context.Context, writes ...carawayspread.Write) error {
-	if s.late {
-		s.late = false
-		s.held = append(s.held, writes)
+	if s.delayNext {
+		s.delayNext = false
+		s.delayed = append(s.delayed, writes)
 		return errors.New("no answer in time")
 	}
 	return s.Table.Apply(ctx, writes...)
 }
 
-// arrive lets the writes that were held back take effect, where they still can.
-func (s *store) arrive() {
-	for _, writes := range s.held {
+// deliverDelayed applies the delayed writes; those whose condition no longer holds fail.
+func (s *store) deliverDelayed() {
+	for _, writes := range s.delayed {
 		_ = s.Table.Apply(context.Background(), writes...)
 	}
-	s.held = nil
+	s.delayed = nil
 }
 
 func (s *store) recover() {
 	s.service.Clear()
-	s.unread = nil
+	s.readErr = nil
 }
 
 type objects map[string][]byte
@@ -88,8 +88,8 @@
 	server := httptest.NewServer(service)
 	client := dynamodb.New(server.URL)
 	t.Cleanup(func() { client.Close(); server.Close() })
-	s, clock, kept := &store{Table: client, service: service}, clockwork.NewFakeClock(), objects{}
-	return s, clock, func() *Ledger { return New(s, kept, clock) }
+	s, clock, answers := &store{Table: client, service: service}, clockwork.NewFakeClock(), objects{}
+	return s, clock, func() *Ledger { return New(s, answers, clock) }
 }
 
 func request(t testing.TB, key, body string) *call.Call {
@@ -115,31 +115,31 @@
 
 var answer = entry.Stored{Status: http.StatusCreated, Header: map[string]string{"Content-Type": "text/plain"}, Body: []byte("receipt 7")}
 
-// A claim ends in one of the ways that there are, and the caller sends its
-// request again through another entry. It must be told what the first sending
-// came to, for good, and may run the request again only where it has not run.
+// A request is claimed and ends in each of the possible ways, and the caller retries it through
+// another entry. Guards against a retry that gets another outcome than the recorded one, and
+// against a second run of a request that may have run.
 func TestRetryThroughAnotherEntry(t *testing.T) {
 	long := answer
 	long.Body = []byte(strings.Repeat("x", 2*inlineLimit))
 	tests := map[string]struct {
-		end    func(entry.Claim) error
-		after  time.Duration
-		body   string
-		gone   bool // the first entry is not listed
-		stored *entry.Stored
-		code   carawayspread.Code // empty where the request is claimed again
+		end      func(entry.Claim) error
+		after    time.Duration
+		body     string
+		unlisted bool // the first entry is not in the instance list
+		stored   *entry.Stored
+		code     carawayspread.Code // empty if the request is claimed again
 	}{
-		"running":       {end: func(entry.Claim) error { return nil }, code: carawayspread.CodeInProgress},
-		"entry lost":    {end: func(entry.Claim) error { return nil }, after: time.Hour, code: carawayspread.CodeUnknownOutcome},
-		"entry new":     {end: func(entry.Claim) error { return nil }, gone: true, code: carawayspread.CodeInProgress},
-		"entry gone":    {end: func(entry.Claim) error { return nil }, gone: true, after: time.Minute, code: carawayspread.CodeUnknownOutcome},
-		"entry listed":  {end: func(entry.Claim) error { return nil }, after: time.Minute, code: carawayspread.CodeInProgress},
-		"done":          {end: func(c entry.Claim) error { return c.Done(t.Context(), answer) }, stored: &answer},
-		"done and long": {end: func(c entry.Claim) error { return c.Done(t.Context(), long) }, stored: &long},
-		"not run":       {end: func(c entry.Claim) error { return c.Failed(t.Context()) }},
-		"unknown":       {end: func(c entry.Claim) error { return c.Unknown(t.Context()) }, code: carawayspread.CodeUnknownOutcome},
-		"expired":       {end: func(c entry.Claim) error { return c.Done(t.Context(), answer) }, after: 25 * time.Hour},
-		"other request": {end: func(c entry.Claim) error { return c.Failed(t.Context()) }, body: "other", code: carawayspread.CodeKeyReused},
+		"running":                {end: func(entry.Claim) error { return nil }, code: carawayspread.CodeInProgress},
+		"past the deadline":      {end: func(entry.Claim) error { return nil }, after: time.Hour, code: carawayspread.CodeUnknownOutcome},
+		"entry not listed yet":   {end: func(entry.Claim) error { return nil }, unlisted: true, code: carawayspread.CodeInProgress},
+		"entry no longer listed": {end: func(entry.Claim) error { return nil }, unlisted: true, after: time.Minute, code: carawayspread.CodeUnknownOutcome},
+		"entry listed":           {end: func(entry.Claim) error { return nil }, after: time.Minute, code: carawayspread.CodeInProgress},
+		"done":                   {end: func(c entry.Claim) error { return c.Done(t.Context(), answer) }, stored: &answer},
+		"done and long":          {end: func(c entry.Claim) error { return c.Done(t.Context(), long) }, stored: &long},
+		"not run":                {end: func(c entry.Claim) error { return c.Failed(t.Context()) }},
+		"unknown":                {end: func(c entry.Claim) error { return c.Unknown(t.Context()) }, code: carawayspread.CodeUnknownOutcome},
+		"expired":                {end: func(c entry.Claim) error { return c.Done(t.Context(), answer) }, after: 25 * time.Hour},
+		"other request":          {end: func(c entry.Claim) error { return c.Failed(t.Context()) }, body: "other", code: carawayspread.CodeKeyReused},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -150,7 +150,7 @@
 			clock.Advance(test.after)
 			for range 2 {
 				other := newLedger()
-				WithInstances("entry-2", func(string) bool { return !test.gone })(other)
+				WithInstances("entry-2", func(string) bool { return !test.unlisted })(other)
 				again, stored, err := other.Begin(t.Context(), request(t, "k", test.body))
 				qt.Check(t, code(err), qt.Equals, test.code)
 				qt.Check(t, stored, qt.DeepEquals, test.stored)
@@ -164,16 +164,16 @@
 	}
 }
 
-// The table is down. A sending is refused at once and says when to come back,
-// but not that the request has not run, since an earlier sending may have run
-// it. Where the first sending's claim may have arrived, it is withdrawn when
-// the table is back, so that the retry runs and does not end as unknown.
+// Guards against a refusal during a table outage that states "not run" although an earlier request
+// with the key may have run, and against refusals that give no Retry-After. A claim that may have
+// been written is withdrawn once the table is back, so that a retry runs instead of ending as
+// unknown.
 func TestStoreDown(t *testing.T) {
 	tests := map[string]func(*store){
-		"before the write": func(s *store) { s.service.SetDown(true) },
-		"answer lost":      func(s *store) { s.service.LoseAnswers(1); s.unread = errors.New("down") },
-		"claim late":       func(s *store) { s.late, s.unread = true, errors.New("down") },
-		"claim late, seen": func(s *store) { s.late = true },
+		"before the write":        func(s *store) { s.service.SetDown(true) },
+		"answer lost":             func(s *store) { s.service.LoseAnswers(1); s.readErr = errors.New("down") },
+		"claim delayed":           func(s *store) { s.delayNext, s.readErr = true, errors.New("down") },
+		"claim delayed, readable": func(s *store) { s.delayNext = true },
 	}
 	for name, fail := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -187,8 +187,8 @@
 			qt.Check(t, refusal.NotRun(), qt.IsFalse)
 			qt.Check(t, refusal.RetryAfter() > 0, qt.IsTrue)
 			s.recover()
-			first.catchUp(t.Context())
-			s.arrive()
+			first.flush(t.Context())
+			s.deliverDelayed()
 			claim, _, err = newLedger().Begin(t.Context(), request(t, "k", ""))
 			qt.Check(t, err, qt.IsNil)
 			qt.Check(t, claim, qt.IsNotNil)
@@ -196,8 +196,9 @@
 	}
 }
 
-// The claim takes effect and its answer is lost, while the table can be read.
-// The claimant must find its own claim, or nobody runs the request.
+// The claim takes effect but the answer to the write is lost, while the table can be read. Guards
+// against a claimant that does not recognize its own claim, in which case nobody would run the
+// request.
 func TestLostClaimIsReadBack(t *testing.T) {
 	s, _, newLedger := start(t)
 	s.service.LoseAnswers(1)
@@ -206,16 +207,16 @@
 	qt.Check(t, claim, qt.IsNotNil)
 }
 
-// The answer is whole while the table is down. Before the deadline of the claim
-// its caller gets it, and the record is written when the table is back. After
-// the deadline a retry may have been told unknown, so nothing final is said.
-func TestAnswerWholeWhileStoreIsDown(t *testing.T) {
+// The answer is complete while the table is down. Before the deadline of the claim the caller gets
+// it, and the record is written when the table is back. After the deadline a retry may have been
+// told unknown, so no final outcome may be reported.
+func TestAnswerCompleteWhileStoreIsDown(t *testing.T) {
 	tests := map[string]struct {
-		late time.Duration
-		code carawayspread.Code
+		delay time.Duration
+		code  carawayspread.Code
 	}{
 		"before the deadline": {},
-		"after the deadline":  {late: time.Hour, code: carawayspread.CodeStoreUnavailable},
+		"after the deadline":  {delay: time.Hour, code: carawayspread.CodeStoreUnavailable},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -223,14 +224,14 @@
 			l := newLedger()
 			claim, _, err := l.Begin(t.Context(), request(t, "k", ""))
 			qt.Assert(t, err, qt.IsNil)
-			clock.Advance(test.late)
+			clock.Advance(test.delay)
 			s.service.SetDown(true)
 			qt.Check(t, code(claim.Done(t.Context(), answer)), qt.Equals, test.code)
 			if test.code != "" {
 				qt.Check(t, code(claim.Unknown(t.Context())), qt.Equals, test.code)
 			}
 			s.recover()
-			l.catchUp(t.Context())
+			l.flush(t.Context())
 			_, stored, err := newLedger().Begin(t.Context(), request(t, "k", ""))
 			qt.Check(t, err, qt.IsNil)
 			qt.Check(t, stored, qt.DeepEquals, &answer)
@@ -238,10 +239,10 @@
 	}
 }
 
-// A claimant is paused past its deadline, a retry is told unknown, and the
-// claimant wakes with a whole answer. Its caller must be told unknown as well,
-// and so must everybody after.
-func TestPausedClaimantTellsUnknown(t *testing.T) {
+// A claimant is paused past its deadline, a retry is told unknown, and the claimant then resumes
+// with a complete answer. Guards against reporting that answer: its caller and all later retries
+// must be told unknown as well.
+func TestPausedClaimantReportsUnknown(t *testing.T) {
 	_, clock, newLedger := start(t)
 	claim, _, err := newLedger().Begin(t.Context(), request(t, "k", ""))
 	qt.Assert(t, err, qt.IsNil)
@@ -253,65 +254,65 @@
 	qt.Check(t, code(err), qt.Equals, carawayspread.CodeUnknownOutcome)
 }
 
-// Random schedules of one key: three entries begin, run or are refused, end or
-// stay silent, while the table is down, cannot be read, loses answers or lets
-// writes arrive late. The work runs at most once, nobody is told anything else
-// after unknown, and "not run" is never said after it ran.
+// Runs random schedules of one key: three entries claim it, run it or are refused, report an
+// outcome or none, while the table is down, cannot be read, loses answers or applies writes late.
+// The request runs at most once, nothing else is reported after unknown, and "not run" is never
+// reported after a run.
 func TestRandomSchedules(t *testing.T) {
 	s, clock, newLedger := start(t)
 	rapid.Check(t, func(rt *rapid.T) {
 		s.recover()
-		s.arrive()
+		s.deliverDelayed()
 		key := rapid.StringMatching("[a-z]{16}").Draw(rt, "key")
 		ledgers := []*Ledger{newLedger(), newLedger(), newLedger()}
-		var open []entry.Claim
-		runs, toldUnknown := 0, false
-		told := func(err error, whole bool) {
+		var openClaims []entry.Claim
+		runs, unknownReported := 0, false
+		checkReported := func(err error, answered bool) {
 			e, refused := carawayspread.AsError(err)
 			switch {
 			case refused && e.Code() == carawayspread.CodeUnknownOutcome:
-				toldUnknown = true
-			case whole && toldUnknown:
-				rt.Fatal("told an answer after unknown")
-			case whole && runs != 1, refused && e.NotRun() && runs > 0:
-				rt.Fatalf("told %v after %d runs", err, runs)
+				unknownReported = true
+			case answered && unknownReported:
+				rt.Fatal("an answer was reported after unknown")
+			case answered && runs != 1, refused && e.NotRun() && runs > 0:
+				rt.Fatalf("reported %v after %d runs", err, runs)
 			}
 		}
 		rt.Repeat(map[string]func(*rapid.T){
 			"begin": func(rt *rapid.T) {
 				claim, stored, err := ledgers[rapid.IntRange(0, 2).Draw(rt, "entry")].Begin(context.Background(), request(t, key, ""))
-				told(err, stored != nil)
+				checkReported(err, stored != nil)
 				if claim != nil {
-					open = append(open, claim)
+					openClaims = append(openClaims, claim)
 				}
 			},
 			"end": func(rt *rapid.T) {
-				if len(open) == 0 {
+				if len(openClaims) == 0 {
 					rt.Skip()
 				}
-				i := rapid.IntRange(0, len(open)-1).Draw(rt, "claim")
-				claim := open[i]
-				open = append(open[:i:i], open[i+1:]...)
+				i := rapid.IntRange(0, len(openClaims)-1).Draw(rt, "claim")
+				claim := openClaims[i]
+				openClaims = append(openClaims[:i:i], openClaims[i+1:]...)
 				switch rapid.SampledFrom([]string{"served", "refused", "cut", "lost"}).Draw(rt, "end") {
 				case "served":
 					runs++
 					err := claim.Done(context.Background(), answer)
 					if err != nil {
 						err = claim.Unknown(context.Background())
-						told(err, false)
-						toldUnknown = toldUnknown || err == nil
+						checkReported(err, false)
+						unknownReported = unknownReported || err == nil
 						return
 					}
-					told(nil, true)
+					checkReported(nil, true)
 				case "refused":
 					if err := claim.Failed(context.Background()); err == nil && runs > 0 {
-						rt.Fatal("told not run after a run")
+						rt.Fatal("reported not run after a run")
 					}
 				case "cut":
 					runs++
 					err := claim.Unknown(context.Background())
-					told(err, false)
-					toldUnknown = toldUnknown || err == nil
+					checkReported(err, false)
+					unknownReported = unknownReported || err == nil
 				}
 				if runs > 1 {
 					rt.Fatal("ran twice")
@@ -319,12 +320,12 @@
 			},
 			"wait":    func(*rapid.T) { clock.Advance(20 * time.Minute) },
 			"lose":    func(*rapid.T) { s.service.LoseAnswers(1) },
-			"late":    func(*rapid.T) { s.late = true },
-			"arrive":  func(*rapid.T) { s.arrive() },
+			"late":    func(*rapid.T) { s.delayNext = true },
+			"arrive":  func(*rapid.T) { s.deliverDelayed() },
 			"down":    func(*rapid.T) { s.service.SetDown(true) },
-			"unread":  func(*rapid.T) { s.unread = errors.New("down") },
+			"unread":  func(*rapid.T) { s.readErr = errors.New("down") },
 			"recover": func(*rapid.T) { s.recover() },
-			"later":   func(rt *rapid.T) { ledgers[rapid.IntRange(0, 2).Draw(rt, "entry")].catchUp(context.Background()) },
+			"later":   func(rt *rapid.T) { ledgers[rapid.IntRange(0, 2).Draw(rt, "entry")].flush(context.Background()) },
 		})
 	})
 }
--- a/internal/process/ledger/record.go
+++ b/internal/process/ledger/record.go
@@ -12,7 +12,7 @@
 	"carawayspread/internal/process/entry"
 )
 
-// state is how far a request has come.
+// state is the progress of a request.
 type state string
 
 const (
@@ -25,13 +25,13 @@
 // record is the body of an item.
 type record struct {
 	State    state         `json:"state"`
-	Hash     uint64        `json:"hash"`               // of the request that the key stands for
-	Claimant string        `json:"claimant,omitempty"` // the instance that claimed it
-	Began    time.Time     `json:"began,omitzero"`     // of a claim
-	Deadline time.Time     `json:"deadline,omitzero"`  // of a claim
-	Expires  time.Time     `json:"expires,omitzero"`   // of an end
-	Answer   *entry.Stored `json:"answer,omitempty"`   // where it is short
-	Object   string        `json:"object,omitempty"`   // holds the answer where it is long
+	Hash     uint64        `json:"hash"`               // fingerprint of the request that used the key
+	Claimant string        `json:"claimant,omitempty"` // the instance that holds the claim
+	Began    time.Time     `json:"began,omitzero"`     // start of a claim
+	Deadline time.Time     `json:"deadline,omitzero"`  // end of a claim's validity
+	Expires  time.Time     `json:"expires,omitzero"`   // when a record with an outcome may be replaced
+	Answer   *entry.Stored `json:"answer,omitempty"`   // if it is short
+	Object   string        `json:"object,omitempty"`   // name of the object that holds a long answer
 }
 
 func decode(item carawayspread.Item) (record, error) {
@@ -39,15 +39,15 @@
 	return r, trace.Wrap(json.Unmarshal(item.Body, &r))
 }
 
-// ended returns the record with the time until which it is kept.
-func (l *Ledger) ended(r record) record {
-	r.Expires = l.clock.Now().Add(l.keep)
+// withExpiry returns the record with the time until which it is kept.
+func (l *Ledger) withExpiry(r record) record {
+	r.Expires = l.clock.Now().Add(l.retention)
 	return r
 }
 
-// keepAnswer returns the record of a whole answer. A long answer is stored
-// first, so that a record never names an object that does not exist.
-func (l *Ledger) keepAnswer(ctx context.Context, c *Claim, answer entry.Stored) (record, error) {
+// storeAnswer returns the record of a complete answer. A long answer is stored before the record,
+// so that a record never names an object that does not exist.
+func (l *Ledger) storeAnswer(ctx context.Context, c *Claim, answer entry.Stored) (record, error) {
 	r := record{State: done, Hash: c.hash, Answer: &answer}
 	if len(answer.Body) <= inlineLimit {
 		return r, nil
@@ -62,8 +62,8 @@
 	return r, trace.Wrap(l.objects.Put(ctx, r.Object, body))
 }
 
-// replay returns the stored answer of a record that is done.
-func (l *Ledger) replay(ctx context.Context, r record) (*entry.Stored, error) {
+// loadAnswer returns the stored answer of a record in the state done.
+func (l *Ledger) loadAnswer(ctx context.Context, r record) (*entry.Stored, error) {
 	if r.Answer != nil {
 		return r.Answer, nil
 	}
