--- a/internal/connection/groupcommit/group.go
+++ b/internal/connection/groupcommit/group.go
@@ -10,12 +10,12 @@
 
 // Stages of an entry.
 const (
-	stageWaiting int32 = iota
-	stageTaken         // in flight or finished
-	stageGone          // its caller went away before it was taken
+	stageWaiting   int32 = iota
+	stageTaken           // in flight or finished
+	stageAbandoned       // its caller was cancelled before it was taken
 )
 
-// entry is one write with its caller.
+// entry is one write that a caller waits for.
 type entry struct {
 	write carawayspread.Write
 	stage atomic.Int32
@@ -23,11 +23,11 @@
 	done  chan struct{} // closed once the outcome is set
 }
 
-// abandon ends the wait of a caller that goes away. It decides in one step
-// with take whether the write is sent: if the caller could say "not written"
-// on its own, the write might still leave a moment later.
+// abandon ends the wait of a caller that was cancelled. One atomic step, shared with take, decides
+// whether the write is sent: otherwise the caller could be told "not written" and the write be sent
+// a moment later.
 func (e *entry) abandon(cause error) error {
-	if e.stage.CompareAndSwap(stageWaiting, stageGone) {
+	if e.stage.CompareAndSwap(stageWaiting, stageAbandoned) {
 		return unavailable(cause)
 	}
 	return fmt.Errorf("outcome of the write is unknown: it was in flight: %w", cause)
@@ -37,8 +37,8 @@
 type group struct {
 	entries []*entry
 	keys    map[carawayspread.Key]bool
-	bytes   int           // of all bodies
-	full    chan struct{} // closed when the group takes no further writes
+	bytes   int           // size of all bodies
+	full    chan struct{} // closed when the group accepts no further writes
 }
 
 func newGroup() *group {
@@ -47,7 +47,7 @@
 
 func (g *group) has(key carawayspread.Key) bool { return g.keys[key] }
 
-// isFull reports whether a transaction could not take any further write.
+// isFull reports whether a transaction could not take another write.
 func (g *group) isFull() bool { return len(g.entries) == maxGroup || g.bytes > maxBytes }
 
 func (g *group) add(w carawayspread.Write) *entry {
@@ -58,7 +58,7 @@
 	return e
 }
 
-// take returns the entries whose callers still wait. The group is closed.
+// take returns the entries whose callers still wait. The group must be closed.
 func (g *group) take() []*entry {
 	taken := make([]*entry, 0, len(g.entries))
 	for _, e := range g.entries {
@@ -77,14 +77,14 @@
 	return writes
 }
 
-func finish(entries []*entry, err error) {
+func complete(entries []*entry, err error) {
 	for _, e := range entries {
 		e.err = err
 		close(e.done)
 	}
 }
 
-// dropFailed finishes the entries whose conditions failed and returns the rest.
+// dropFailed completes the entries whose conditions failed and returns the others.
 func dropFailed(entries []*entry, condition *carawayspread.ConditionError) []*entry {
 	rest := make([]*entry, 0, len(entries))
 	for i, e := range entries {
@@ -92,7 +92,7 @@
 			rest = append(rest, e)
 			continue
 		}
-		finish([]*entry{e}, &carawayspread.ConditionError{Failed: []int{0}})
+		complete([]*entry{e}, &carawayspread.ConditionError{Failed: []int{0}})
 	}
 	return rest
 }
--- a/internal/connection/groupcommit/table_test.go
+++ b/internal/connection/groupcommit/table_test.go
@@ -32,8 +32,8 @@
 	server := httptest.NewServer(service)
 	client := dynamodb.New(server.URL)
 	t.Cleanup(func() { client.Close(); server.Close() })
-	waits := backoff.New(carawayspread.SystemClock(), time.Microsecond, time.Microsecond)
-	return readback.New(client, waits), service
+	retryBackoff := backoff.New(carawayspread.SystemClock(), time.Microsecond, time.Microsecond)
+	return readback.New(client, retryBackoff), service
 }
 
 // applyAll sends writes at the same time and returns their errors in order.
@@ -47,11 +47,11 @@
 	return errs
 }
 
-// A hundred callers write at once and every tenth has a condition that fails.
-// The service carries out a transaction whole or not at all, so the others
-// would fail with them; each caller gets the verdict on its own write, also
-// when the answer to the transaction is lost after it took effect.
-func TestGroupKeepsVerdictsApart(t *testing.T) {
+// A hundred callers write at once and the condition of every tenth fails. The service performs a
+// transaction completely or not at all, so one failed condition would fail the other writes too.
+// Each caller must get the outcome of its own write, even if the answer to the transaction is lost
+// after it took effect.
+func TestGroupReportsEachOutcome(t *testing.T) {
 	for name, lost := range map[string]int{"answers arrive": 0, "answers lost": 3} {
 		t.Run(name, func(t *testing.T) {
 			inner, service := start(t)
@@ -74,62 +74,62 @@
 	}
 }
 
-// held is a table whose writes wait until they are let go.
-type held struct {
+// blockedTable is a table whose writes wait for release.
+type blockedTable struct {
 	carawayspread.Table
 	arrived, release chan struct{}
 }
 
-func (h held) Apply(ctx context.Context, writes ...carawayspread.Write) error {
+func (h blockedTable) Apply(ctx context.Context, writes ...carawayspread.Write) error {
 	h.arrived <- struct{}{}
 	<-h.release
 	return h.Table.Apply(ctx, writes...)
 }
 
-// Two callers go away. The write of the first is in flight and takes effect
-// afterwards, so it must not hear "not written". That of the second has not
-// left and must never leave, or its "not written" would become false. A third,
-// beyond the bound, is refused while both wait.
-func TestCallersThatGoAway(t *testing.T) {
+// Two callers are cancelled. The write of the first is in flight and takes effect later, so it must
+// not be reported as not written. The write of the second has not been sent and must never be, or
+// its "not written" would become false. A third write, beyond the bound, is refused while both
+// wait.
+func TestCancelledCallers(t *testing.T) {
 	inner, service := start(t)
-	h := held{Table: inner, arrived: make(chan struct{}, 3), release: make(chan struct{})}
-	table := New(h, carawayspread.SystemClock(), WithWindow(0), WithSpacing(0), WithInFlight(1), WithWaiting(2))
+	h := blockedTable{Table: inner, arrived: make(chan struct{}, 3), release: make(chan struct{})}
+	table := New(h, carawayspread.SystemClock(), WithWindow(0), WithSpacing(0), WithMaxInFlight(1), WithMaxPending(2))
 	apply := func(ctx context.Context, sort string) chan error {
 		result := make(chan error, 1)
 		go func() { result <- table.Apply(ctx, write(sort, 0)) }()
 		return result
 	}
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	first := apply(ctx, "in flight")
 	<-h.arrived
 	second := apply(ctx, "waiting")
-	for table.waitingNow() < 2 {
-		time.Sleep(time.Millisecond) // the second has entered its group
+	for table.pendingWrites() < 2 {
+		time.Sleep(time.Millisecond) // until the second is in its group
 	}
 	qt.Check(t, <-apply(context.Background(), "beyond"), qt.ErrorIs, carawayspread.ErrUnavailable)
-	leave()
+	cancel()
 	err := <-first
 	qt.Check(t, err, qt.ErrorIs, context.Canceled)
 	qt.Check(t, errors.Is(err, carawayspread.ErrUnavailable), qt.IsFalse, qt.Commentf("%v", err))
 	qt.Check(t, <-second, qt.ErrorIs, carawayspread.ErrUnavailable)
 	close(h.release)
-	for table.waitingNow() > 0 {
-		time.Sleep(time.Millisecond) // both groups have ended
+	for table.pendingWrites() > 0 {
+		time.Sleep(time.Millisecond) // until both groups are complete
 	}
 	qt.Check(t, service.Len(), qt.Equals, 1)
 	_, err = inner.Get(context.Background(), write("in flight", 0).Item.Key)
 	qt.Check(t, err, qt.IsNil)
 }
 
-func (t *Table) waitingNow() int {
+func (t *Table) pendingWrites() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.pending
 }
 
-// Two writes of one key arrive together. The service refuses a transaction with
-// both, and with it every other write of the group.
-func TestOneKeyTwice(t *testing.T) {
+// Two writes of one key arrive together. The service rejects a transaction that contains both, and
+// with it every other write of the group.
+func TestSameKeyTwice(t *testing.T) {
 	inner, _ := start(t)
 	table := New(inner, carawayspread.SystemClock(), WithWindow(5*time.Millisecond))
 	won := 0
@@ -142,19 +142,19 @@
 	qt.Check(t, won, qt.Equals, 2)
 }
 
-// Writes come one by one, each soon after the last was answered: every one
-// would be a request of its own at the platform. From the second on they keep
-// the spacing, however many there are.
+// Writes arrive one by one, each soon after the previous one was answered, so that each would be a
+// platform request of its own. Guards against requests that exceed the spacing, however many writes
+// there are.
 func TestSpacingBoundsRequests(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	table := New(nil, clock, WithSpacing(time.Second))
-	var left time.Duration
+	var total time.Duration
 	for range 10 {
-		wait := table.schedule()
+		wait := table.scheduleSend()
 		clock.Advance(wait)
-		left += wait
+		total += wait
 	}
-	qt.Check(t, left, qt.Equals, defaultWindow+9*time.Second)
+	qt.Check(t, total, qt.Equals, defaultWindow+9*time.Second)
 	clock.Advance(time.Minute)
-	qt.Check(t, table.schedule(), qt.Equals, defaultWindow)
+	qt.Check(t, table.scheduleSend(), qt.Equals, defaultWindow)
 }
--- a/internal/connection/readback/doc.go
+++ b/internal/connection/readback/doc.go
@@ -1,29 +1,28 @@
-// Package readback finds out what became of a write whose answer was lost.
+// Package readback determines the outcome of a write whose answer was lost.
 //
-// Load pattern: the table service is slow, or a connection ends after the write
-// took effect. Without the read-back a caller that repeats its write meets its
-// own effect as a failed condition: a claim is refused to the process that
-// holds it, a configuration change is reported as lost although it is in force.
+// The table service may be slow, or a connection may break after the write took effect. Without the
+// read-back, a caller that retries its write sees its own effect as a failed condition: a claim is
+// refused to the process that holds it, or a configuration change is reported as lost although it
+// is in force.
 //
-// Every write carries a token that is unique to its attempt, and revisions grow
-// by one with each write of a key. So one consistent read of a written key
-// tells four cases apart:
+// Every write carries a token that is unique to its attempt, and revisions grow by one with each
+// write of a key. One consistent read of a written key therefore distinguishes four cases:
 //
 //   - the next revision with our token: the write took effect;
 //   - the next revision with another token: another writer took that revision,
-//     and ours cannot take effect any more;
-//   - still the revision of the condition: the write has not taken effect so
-//     far, but may be under way. It is sent again with the same token. Both
-//     copies have one condition, which the first of them uses up;
-//   - a later revision, or none where there was one: ours may have been there
-//     and been replaced. The outcome stays unknown.
+//     and our write can no longer take effect;
+//   - still the revision of the condition: the write has not taken effect so far,
+//     but may be in flight. It is sent again with the same token. Both copies
+//     have the same condition, and the first to take effect makes it fail for
+//     the other;
+//   - a later revision, or no item where there was one: our write may have taken
+//     effect and been replaced. The outcome remains unknown.
 //
-// A transaction is decided by the first of its keys that is not in the last
-// case, since it is carried out whole or not at all. A lost deletion whose key
-// is gone stays unknown: another may have deleted it.
+// The first key that is not in the last case decides the outcome of a transaction, since a
+// transaction is performed completely or not at all. A deletion whose answer was lost and whose key
+// is gone remains unknown: another writer may have deleted it.
 //
-// The proof needs that revisions do not start again under a write in flight:
-// a key that has been deleted is created again, or checked to be free, only once
-// no write from before can arrive any more. Deletions in this system are for records that ended long
-// ago.
+// The proof requires that revisions do not restart while a write is in flight: a deleted key is
+// created again, or checked to be free, only once no earlier write can still arrive. In this system
+// only records of work that ended long ago are deleted.
 package readback
--- a/internal/connection/readback/inspect.go
+++ b/internal/connection/readback/inspect.go
@@ -7,23 +7,23 @@
 	"carawayspread"
 )
 
-// state is what one read tells of a write that may have taken effect.
+// state is what one read shows about a write that may have taken effect.
 type state int
 
 const (
-	overwritten state = iota // cannot be told
-	pending                  // not in effect at the time of the read
-	written                  // took effect
-	lost                     // has not and cannot take effect
+	undetermined state = iota // the read does not show the outcome
+	pending                   // had not taken effect at the time of the read
+	written                   // took effect
+	superseded                // has not taken effect and never will
 )
 
-// finding is the state of a whole Apply with the write that shows it.
+// finding is the state of a whole Apply with the index of the write that shows it.
 type finding struct {
 	state state
 	index int
 }
 
-// inspect reads the keys until one shows the state of the whole.
+// inspect reads the keys until one shows the state of the whole Apply.
 func (t *Table) inspect(ctx context.Context, writes []carawayspread.Write) (finding, error) {
 	onlyChecks := true
 	for i, w := range writes {
@@ -35,37 +35,37 @@
 		if err != nil && !errors.Is(err, carawayspread.ErrNoItem) {
 			return finding{}, err
 		}
-		if s := judge(w, item); s != overwritten {
+		if s := classify(w, item); s != undetermined {
 			return finding{state: s, index: i}, nil
 		}
 	}
-	if onlyChecks { // changes nothing, so it can be asked again
+	if onlyChecks { // changes nothing, so it can be sent again
 		return finding{state: pending}, nil
 	}
-	return finding{state: overwritten}, nil
+	return finding{state: undetermined}, nil
 }
 
-// judge compares a write with what is stored; an absent item has revision zero.
-func judge(w carawayspread.Write, stored carawayspread.Item) state {
+// classify compares a write with the stored item; an absent item has revision zero.
+func classify(w carawayspread.Write, stored carawayspread.Item) state {
 	if stored.Rev == w.IfRev {
 		return pending
 	}
 	if w.Delete {
-		return judgeDelete(w, stored)
+		return classifyDelete(w, stored)
 	}
 	if stored.Rev != w.IfRev+1 || w.Item.Token == "" {
-		return overwritten
+		return undetermined
 	}
 	if stored.Token == w.Item.Token {
 		return written
 	}
-	return lost
+	return superseded
 }
 
-// judgeDelete knows that a key which shows a later revision was not deleted.
-func judgeDelete(w carawayspread.Write, stored carawayspread.Item) state {
+// classifyDelete uses that a key with a later revision was not deleted.
+func classifyDelete(w carawayspread.Write, stored carawayspread.Item) state {
 	if stored.Rev > w.IfRev {
-		return lost
+		return superseded
 	}
-	return overwritten
+	return undetermined
 }
--- a/internal/connection/readback/table_test.go
+++ b/internal/connection/readback/table_test.go
@@ -18,21 +18,21 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-type put = carawayspread.Write
+type conditionalWrite = carawayspread.Write
 
-func write(sort string, ifRev uint64, token string) put {
+func write(sort string, ifRev uint64, token string) conditionalWrite {
 	item := carawayspread.Item{Key: carawayspread.Key{Partition: "p", Sort: sort}, Token: token}
-	return put{Item: item, IfRev: ifRev}
+	return conditionalWrite{Item: item, IfRev: ifRev}
 }
 
-// script says what happens to the n-th copy of the write under test; copies
-// beyond it reach the table unharmed.
-type script struct {
+// scriptedTable runs one step for each copy of the write under test; further copies reach the table
+// normally.
+type scriptedTable struct {
 	carawayspread.Table
-	steps []func(arrive carawayspread.Table, ws []put) error
+	steps []func(arrive carawayspread.Table, ws []conditionalWrite) error
 }
 
-func (s *script) Apply(ctx context.Context, ws ...put) error {
+func (s *scriptedTable) Apply(ctx context.Context, ws ...conditionalWrite) error {
 	if len(s.steps) == 0 {
 		return s.Table.Apply(ctx, ws...)
 	}
@@ -41,57 +41,56 @@
 	return step(s.Table, ws)
 }
 
-// The caller sends one write and sees what became of it, although the answer
-// was lost: after the write took effect, before it arrived, while it was still
-// under way, or while others wrote the same keys. Where the table shows the
-// outcome the caller gets it, else it is told unknown; never "not written".
+// The answer to a write is lost: after the write took effect, before it arrived, while it was still
+// in flight, or while others wrote the same keys. If the table shows the outcome, the caller gets
+// it; otherwise the outcome is reported as unknown and never as "not written".
 func TestLostAnswers(t *testing.T) {
 	lost := errors.New("connection closed")
 	ctx := context.Background()
-	arrive := func(ws ...put) func(carawayspread.Table, []put) error {
-		return func(table carawayspread.Table, _ []put) error { _ = table.Apply(ctx, ws...); return lost }
+	arrive := func(ws ...conditionalWrite) func(carawayspread.Table, []conditionalWrite) error {
+		return func(table carawayspread.Table, _ []conditionalWrite) error { _ = table.Apply(ctx, ws...); return lost }
 	}
-	mine := func(table carawayspread.Table, ws []put) error { _ = table.Apply(ctx, ws...); return lost }
+	lostAfterEffect := func(table carawayspread.Table, ws []conditionalWrite) error { _ = table.Apply(ctx, ws...); return lost }
 	never := arrive()
-	late := func(table carawayspread.Table, ws []put) error { // the first copy overtakes the second
+	delayedCopy := func(table carawayspread.Table, ws []conditionalWrite) error { // the first copy arrives just before the second
 		_ = table.Apply(ctx, ws...)
 		return table.Apply(ctx, ws...)
 	}
-	down := func(carawayspread.Table, []put) error { return carawayspread.ErrUnavailable }
-	then := func(first func(carawayspread.Table, []put) error, ws ...put) func(carawayspread.Table, []put) error {
-		return func(table carawayspread.Table, own []put) error {
+	down := func(carawayspread.Table, []conditionalWrite) error { return carawayspread.ErrUnavailable }
+	then := func(first func(carawayspread.Table, []conditionalWrite) error, ws ...conditionalWrite) func(carawayspread.Table, []conditionalWrite) error {
+		return func(table carawayspread.Table, own []conditionalWrite) error {
 			_ = first(table, own)
 			return arrive(ws...)(table, own)
 		}
 	}
-	type steps = []func(carawayspread.Table, []put) error
-	single := []put{write("a", 1, "mine")}
-	fresh := []put{write("new", 0, "mine")}
-	pair := []put{write("a", 1, "mine"), write("b", 1, "mine")}
-	remove := []put{{Item: single[0].Item, IfRev: 1, Delete: true}}
+	type steps = []func(carawayspread.Table, []conditionalWrite) error
+	single := []conditionalWrite{write("a", 1, "mine")}
+	fresh := []conditionalWrite{write("new", 0, "mine")}
+	pair := []conditionalWrite{write("a", 1, "mine"), write("b", 1, "mine")}
+	remove := []conditionalWrite{{Item: single[0].Item, IfRev: 1, Delete: true}}
 	other := write("a", 1, "other")
 
 	tests := map[string]struct {
-		writes []put
+		writes []conditionalWrite
 		steps  steps
 		want   string
-		writer string // of item a in the end; empty when it is gone
+		token  string // of item a at the end; empty if the item is gone
 	}{
-		"took effect":                  {single, steps{mine}, "ok", "mine"},
-		"took effect, fresh key":       {fresh, steps{mine}, "ok", "first"},
-		"took effect, transaction":     {pair, steps{mine}, "ok", "mine"},
+		"took effect":                  {single, steps{lostAfterEffect}, "ok", "mine"},
+		"took effect, fresh key":       {fresh, steps{lostAfterEffect}, "ok", "first"},
+		"took effect, transaction":     {pair, steps{lostAfterEffect}, "ok", "mine"},
 		"never arrived":                {single, steps{never}, "ok", "mine"},
 		"never arrived, transaction":   {pair, steps{never, never}, "ok", "mine"},
-		"arrived after the read":       {single, steps{never, late}, "ok", "mine"},
+		"arrived after the read":       {single, steps{never, delayedCopy}, "ok", "mine"},
 		"another took the revision":    {single, steps{arrive(other)}, "condition", "other"},
 		"another took one of the pair": {pair, steps{arrive(write("b", 1, "other"))}, "condition", "first"},
 		"another while it was resent":  {single, steps{never, arrive(other)}, "condition", "other"},
-		"overwritten since":            {single, steps{then(mine, write("a", 2, "other"))}, "unknown", "other"},
-		"one of the pair overwritten":  {pair, steps{then(mine, write("a", 2, "other"))}, "ok", "other"},
-		"deletion took effect":         {remove, steps{mine}, "unknown", ""},
+		"overwritten since":            {single, steps{then(lostAfterEffect, write("a", 2, "other"))}, "unknown", "other"},
+		"one of the pair overwritten":  {pair, steps{then(lostAfterEffect, write("a", 2, "other"))}, "ok", "other"},
+		"deletion took effect":         {remove, steps{lostAfterEffect}, "unknown", ""},
 		"deletion never arrived":       {remove, steps{never}, "ok", ""},
 		"deletion lost to a write":     {remove, steps{arrive(other)}, "condition", "other"},
-		"store down afterwards":        {single, steps{never, down, down, down}, "unknown", "first"},
+		"store down after sending":     {single, steps{never, down, down, down}, "unknown", "first"},
 		"never sent at all":            {single, steps{down}, "unavailable", "first"},
 	}
 	for name, test := range tests {
@@ -103,16 +102,16 @@
 			for _, sort := range []string{"a", "b"} {
 				qt.Assert(t, client.Apply(ctx, write(sort, 0, "first")), qt.IsNil)
 			}
-			waits := backoff.New(carawayspread.SystemClock(), time.Microsecond, time.Microsecond)
-			err := New(&script{Table: client, steps: test.steps}, waits).Apply(ctx, test.writes...)
-			qt.Check(t, verdict(err), qt.Equals, test.want, qt.Commentf("%v", err))
+			retryBackoff := backoff.New(carawayspread.SystemClock(), time.Microsecond, time.Microsecond)
+			err := New(&scriptedTable{Table: client, steps: test.steps}, retryBackoff).Apply(ctx, test.writes...)
+			qt.Check(t, outcome(err), qt.Equals, test.want, qt.Commentf("%v", err))
 			item, err := client.Get(ctx, write("a", 0, "").Item.Key)
-			qt.Check(t, item.Token, qt.Equals, test.writer, qt.Commentf("%v", err))
+			qt.Check(t, item.Token, qt.Equals, test.token, qt.Commentf("%v", err))
 		})
 	}
 }
 
-func verdict(err error) string {
+func outcome(err error) string {
 	switch {
 	case err == nil:
 		return "ok"
@@ -124,19 +123,21 @@
 	return "unknown"
 }
 
-type blind struct{ carawayspread.Table }
+type unreadable struct{ carawayspread.Table }
 
-func (blind) Get(context.Context, carawayspread.Key) (carawayspread.Item, error) {
+func (unreadable) Get(context.Context, carawayspread.Key) (carawayspread.Item, error) {
 	return carawayspread.Item{}, carawayspread.ErrUnavailable
 }
 
-func (blind) Apply(context.Context, ...put) error { return errors.New("connection closed") }
+func (unreadable) Apply(context.Context, ...conditionalWrite) error {
+	return errors.New("connection closed")
+}
 
-// The write's answer is lost and the store goes down before it can be read. The
-// read provably had no effect, which says nothing of the write: a caller that
-// was told "not written" would write again.
-func TestRefusedReadSaysNothingOfTheWrite(t *testing.T) {
-	waits := backoff.New(carawayspread.SystemClock(), time.Microsecond, time.Microsecond)
-	err := New(blind{}, waits).Apply(context.Background(), write("a", 0, "mine"))
-	qt.Check(t, verdict(err), qt.Equals, "unknown", qt.Commentf("%v", err))
+// The answer to a write is lost and the store goes down before the item can be read. The read
+// provably had no effect, which says nothing about the write: a caller that was told "not written"
+// would write again.
+func TestRefusedReadLeavesOutcomeUnknown(t *testing.T) {
+	retryBackoff := backoff.New(carawayspread.SystemClock(), time.Microsecond, time.Microsecond)
+	err := New(unreadable{}, retryBackoff).Apply(context.Background(), write("a", 0, "mine"))
+	qt.Check(t, outcome(err), qt.Equals, "unknown", qt.Commentf("%v", err))
 }
