--- a/internal/connection/dynamodb/codec.go
+++ b/internal/connection/dynamodb/codec.go
@@ -9,7 +9,7 @@
 	"carawayspread"
 )
 
-// Attributes of the physical table.
+// Attributes of the items in the physical table.
 const (
 	attributePartition = "partition"
 	attributeSort      = "sort"
@@ -18,28 +18,28 @@
 	attributeBody      = "body"
 )
 
-func text(s string) types.AttributeValue { return &types.AttributeValueMemberS{Value: s} }
+func stringValue(s string) types.AttributeValue { return &types.AttributeValueMemberS{Value: s} }
 
-func number(n uint64) types.AttributeValue {
+func numberValue(n uint64) types.AttributeValue {
 	return &types.AttributeValueMemberN{Value: strconv.FormatUint(n, 10)}
 }
 
 func encodeKey(key carawayspread.Key) map[string]types.AttributeValue {
 	return map[string]types.AttributeValue{
-		attributePartition: text(key.Partition),
-		attributeSort:      text(key.Sort),
+		attributePartition: stringValue(key.Partition),
+		attributeSort:      stringValue(key.Sort),
 	}
 }
 
 func encodeItem(w carawayspread.Write) map[string]types.AttributeValue {
 	attributes := encodeKey(w.Item.Key)
-	attributes[attributeRev] = number(w.IfRev + 1)
-	attributes[attributeToken] = text(w.Item.Token)
+	attributes[attributeRev] = numberValue(w.IfRev + 1)
+	attributes[attributeToken] = stringValue(w.Item.Token)
 	attributes[attributeBody] = &types.AttributeValueMemberB{Value: bodyOf(w.Item)}
 	return attributes
 }
 
-// bodyOf returns the body; the SDK sends a nil one as a value of no type.
+// bodyOf returns the body, never nil: the SDK encodes a nil slice as a value without a type.
 func bodyOf(item carawayspread.Item) []byte {
 	if item.Body == nil {
 		return []byte{}
--- a/internal/connection/dynamodb/doc.go
+++ b/internal/connection/dynamodb/doc.go
@@ -1,7 +1,6 @@
-// Package dynamodb speaks to the platform's table service over the DynamoDB
-// protocol.
+// Package dynamodb is a client of the platform's table service over the DynamoDB protocol.
 //
-// The client sends each request once. A repeated write whose first answer was
-// lost would meet its own effect and report a failed condition although it
-// succeeded; repeating is left to decorators that know the attempt's token.
+// The client sends each request once. A retried write whose first answer was lost would see its own
+// effect and report a failed condition although it succeeded. Retries are therefore left to
+// decorators that know the token of the attempt.
 package dynamodb
--- a/internal/connection/dynamodb/errors.go
+++ b/internal/connection/dynamodb/errors.go
@@ -20,10 +20,9 @@
 
 const reasonConditionFailed = "ConditionalCheckFailed"
 
-// rejections are the answers by which the service says that it did not carry
-// out the request. Any other answer, such as InternalServerError, leaves the
-// outcome of a write unknown.
-var rejections = map[string]bool{
+// rejectionCodes are the error codes by which the service states that it did not perform the
+// request. Any other error, such as InternalServerError, leaves the outcome of a write unknown.
+var rejectionCodes = map[string]bool{
 	"AccessDeniedException":                  true,
 	"IncompleteSignatureException":           true,
 	"InvalidSignatureException":              true,
@@ -40,8 +39,8 @@
 	"ValidationException":                    true,
 }
 
-// classify turns an error of the client into one of the errors of a Table.
-// What it cannot prove to have had no effect stays unknown.
+// classify maps an error of the client to one of the errors of a Table. The outcome is unknown
+// unless the error proves that the request had no effect.
 func classify(err error) error {
 	if err == nil {
 		return nil
@@ -58,7 +57,7 @@
 		return unavailable(err)
 	}
 	var api smithy.APIError
-	if errors.As(err, &api) && rejections[api.ErrorCode()] {
+	if errors.As(err, &api) && rejectionCodes[api.ErrorCode()] {
 		return unavailable(err)
 	}
 	return fmt.Errorf("table service: outcome unknown: %w", err)
@@ -81,9 +80,9 @@
 	return fmt.Errorf("%w: %w", carawayspread.ErrUnavailable, cause)
 }
 
-// refuse finds reasons for which nothing is sent. A body beyond the limit would
-// have the service refuse all other writes of the transaction with it.
-func refuse(ctx context.Context, writes []carawayspread.Write) error {
+// validate returns an error if nothing may be sent. A body over the limit would make the service
+// reject all other writes of the transaction as well.
+func validate(ctx context.Context, writes []carawayspread.Write) error {
 	for _, w := range writes {
 		if w.Item.Key.Partition == "" || w.Item.Key.Sort == "" {
 			return errKey
--- a/internal/connection/dynamodb/fuzz_test.go
+++ b/internal/connection/dynamodb/fuzz_test.go
@@ -9,8 +9,8 @@
 	"carawayspread"
 )
 
-// What the decoder accepts has a revision that is a whole number above zero
-// and comes back the same when it is written again.
+// An accepted item has a revision that is a whole number above zero, and is unchanged after it is
+// encoded and decoded again.
 func FuzzDecodeItem(f *testing.F) {
 	f.Add("p", "s", "1", "t", []byte(`{}`), uint8(0))
 	f.Add("p", "s", "-1", "t", []byte(nil), uint8(3))
@@ -18,7 +18,7 @@
 	f.Fuzz(func(t *testing.T, partition, sort, rev, token string, body []byte, missing uint8) {
 		row := encodeKey(carawayspread.Key{Partition: partition, Sort: sort})
 		row[attributeRev] = &types.AttributeValueMemberN{Value: rev}
-		row[attributeToken] = text(token)
+		row[attributeToken] = stringValue(token)
 		row[attributeBody] = &types.AttributeValueMemberB{Value: body}
 		names := []string{"", attributePartition, attributeSort, attributeRev, attributeToken, attributeBody}
 		delete(row, names[int(missing)%len(names)])
@@ -27,10 +27,10 @@
 			return
 		}
 		qt.Assert(t, item.Rev > 0, qt.IsTrue)
-		again, err := decodeItem(encodeItem(carawayspread.Write{Item: item, IfRev: item.Rev - 1}))
+		roundTripped, err := decodeItem(encodeItem(carawayspread.Write{Item: item, IfRev: item.Rev - 1}))
 		qt.Assert(t, err, qt.IsNil)
-		qt.Assert(t, again.Key, qt.Equals, item.Key)
-		qt.Assert(t, again.Rev, qt.Equals, item.Rev)
-		qt.Assert(t, string(again.Body), qt.Equals, string(item.Body))
+		qt.Assert(t, roundTripped.Key, qt.Equals, item.Key)
+		qt.Assert(t, roundTripped.Rev, qt.Equals, item.Rev)
+		qt.Assert(t, string(roundTripped.Body), qt.Equals, string(item.Body))
 	})
 }
--- a/internal/connection/dynamodb/sender.go
+++ b/internal/connection/dynamodb/sender.go
@@ -8,11 +8,11 @@
 	"sync/atomic"
 )
 
-// errNotSent marks a request that never got a connection.
+// errNotSent marks a request that never obtained a connection.
 var errNotSent = errors.New("request not sent")
 
-// sender tells requests that never got a connection from those whose bytes
-// may have left. Only the former are proved to have had no effect.
+// sender distinguishes requests that never obtained a connection from those of which bytes may have
+// been sent. Only the former are proven to have had no effect.
 type sender struct {
 	client *http.Client
 }
@@ -23,19 +23,19 @@
 func (e *notSentError) Unwrap() error        { return e.cause }
 func (e *notSentError) Is(target error) bool { return target == errNotSent }
 
-// plainBody shows the transport a body by its Read alone. The SDK closes the
-// body as soon as the answer begins, and its WriteTo then returns io.EOF as an
-// error. A transport that was about to check the end of the body takes this for
-// a failed write and closes the connection under the answer: symptom, a read
-// that fails with "use of closed network connection", or a write of unknown
-// outcome, at a service that is well. Read returns io.EOF too, where it means
-// what it should, the end.
-type plainBody struct{ io.ReadCloser }
+// readerBody hides every method of a request body but Read and Close from the transport.
+//
+// The SDK closes the body as soon as the answer begins, and the WriteTo of a closed body returns
+// io.EOF as an error. A transport that is about to check the end of the body takes this for a
+// failed write and closes the connection while the answer is being read. Reads then fail with "use
+// of closed network connection" and writes have an unknown outcome, although the service works.
+// Read returns io.EOF as well, where it correctly means the end.
+type readerBody struct{ io.ReadCloser }
 
 // Do sends the request once.
 func (s *sender) Do(r *http.Request) (*http.Response, error) {
 	if r.Body != nil && r.Body != http.NoBody {
-		r.Body = plainBody{r.Body}
+		r.Body = readerBody{r.Body}
 	}
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
--- a/internal/connection/dynamodb/sender_test.go
+++ b/internal/connection/dynamodb/sender_test.go
@@ -16,20 +16,19 @@
 
 func (t transport) RoundTrip(r *http.Request) (*http.Response, error) { return t(r) }
 
-// The service answers at once, and the SDK closes the request's body while the
-// transport still checks its end. The transport must see the end and not a
-// failed write, upon which it closes the connection under the answer: a read
-// would fail now and then at a service that is well, and a write be reported
-// as unknown.
+// The service answers at once, and the SDK closes the request's body while the transport still
+// checks its end. Guards against a transport that sees a failed write instead of the end and closes
+// the connection while the answer is being read: reads would fail occasionally although the service
+// works, and writes would be reported as unknown.
 func TestClosedBodyEndsCleanly(t *testing.T) {
-	var copied error
+	var copyErr error
 	client := New("http://127.0.0.1:1")
 	client.client.Options().HTTPClient.(*sender).client.Transport = transport(func(r *http.Request) (*http.Response, error) {
 		qt.Assert(t, r.Body.Close(), qt.IsNil)
-		_, copied = io.Copy(io.Discard, r.Body)
+		_, copyErr = io.Copy(io.Discard, r.Body)
 		return nil, errors.New("no answer")
 	})
 	_, err := client.Get(context.Background(), carawayspread.Key{Partition: "p", Sort: "a"})
 	qt.Check(t, err, qt.IsNotNil)
-	qt.Check(t, copied, qt.IsNil)
+	qt.Check(t, copyErr, qt.IsNil)
 }
--- a/internal/connection/dynamodb/table.go
+++ b/internal/connection/dynamodb/table.go
@@ -20,11 +20,11 @@
 	idleConnTimeout = 90 * time.Second
 )
 
-// Table is the platform's table service. It is safe for concurrent use.
+// Table is a client of the platform's table service. It is safe for concurrent use.
 type Table struct {
 	client *dynamodb.Client
 	sender *sender
-	name   string // of the one physical table
+	name   string // of the physical table that holds all items
 }
 
 type settings struct {
@@ -37,10 +37,10 @@
 // Option sets an optional part of a Table.
 type Option func(*settings)
 
-// WithName names the physical table.
+// WithName sets the name of the physical table.
 func WithName(name string) Option { return func(s *settings) { s.table = name } }
 
-// WithRegion names the region that requests are signed for.
+// WithRegion sets the region that requests are signed for.
 func WithRegion(region string) Option { return func(s *settings) { s.region = region } }
 
 // WithCredentials sets the static credentials.
@@ -48,7 +48,7 @@
 	return func(s *settings) { s.id, s.secret = id, secret }
 }
 
-// New returns the table service at a base URL such as http://127.0.0.1:8000.
+// New returns a client of the table service at a base URL such as http://127.0.0.1:8000.
 func New(baseURL string, opts ...Option) *Table {
 	s := settings{table: defaultTable, region: defaultRegion, id: "none", secret: "none"}
 	for _, opt := range opts {
@@ -92,8 +92,8 @@
 	return decodeItem(out.Item)
 }
 
-// Query reads consistently the items of a partition whose sort key is greater
-// than after, in order, at most limit. It follows the service's pages.
+// Query reads consistently the items of a partition whose sort key is greater than after, in
+// ascending order, at most limit. It follows the service's pagination.
 func (t *Table) Query(ctx context.Context, partition, after string, limit int) ([]carawayspread.Item, error) {
 	var items []carawayspread.Item
 	for len(items) < limit {
@@ -116,13 +116,13 @@
 		ConsistentRead:            aws.Bool(true),
 		KeyConditionExpression:    aws.String("#p = :p"),
 		ExpressionAttributeNames:  map[string]string{"#p": attributePartition},
-		ExpressionAttributeValues: map[string]types.AttributeValue{":p": text(partition)},
+		ExpressionAttributeValues: map[string]types.AttributeValue{":p": stringValue(partition)},
 		Limit:                     aws.Int32(int32(limit)),
 	}
-	if after != "" { // the service refuses an empty key
+	if after != "" { // the service rejects an empty key
 		in.KeyConditionExpression = aws.String("#p = :p AND #s > :s")
 		in.ExpressionAttributeNames["#s"] = attributeSort
-		in.ExpressionAttributeValues[":s"] = text(after)
+		in.ExpressionAttributeValues[":s"] = stringValue(after)
 	}
 	out, err := t.client.Query(ctx, in)
 	if err != nil {
@@ -132,9 +132,9 @@
 	return items, len(out.LastEvaluatedKey) > 0, err
 }
 
-// Apply carries out all writes or none.
+// Apply performs all writes or none.
 func (t *Table) Apply(ctx context.Context, writes ...carawayspread.Write) error {
-	if err := refuse(ctx, writes); err != nil {
+	if err := validate(ctx, writes); err != nil {
 		return unavailable(err)
 	}
 	if len(writes) == 0 {
--- a/internal/connection/dynamodb/table_test.go
+++ b/internal/connection/dynamodb/table_test.go
@@ -36,7 +36,7 @@
 func TestApply(t *testing.T) {
 	tests := map[string]struct {
 		writes []carawayspread.Write
-		failed []int // nil when all is written
+		failed []int // nil if all writes succeed
 		want   map[string]uint64
 	}{
 		"put on a free key":        {writes: []carawayspread.Write{put("new", 0, "t")}, want: map[string]uint64{"a": 1, "new": 1}},
@@ -88,10 +88,10 @@
 	qt.Check(t, err, qt.ErrorIs, carawayspread.ErrNoItem)
 }
 
-// The caller sees whether its write may have happened. Where no connection was
-// made, or the service says that it refused, nothing was written. Where the
-// connection ends without an answer nothing is known, whether the write took
-// effect (a lost answer) or not (a service that went down).
+// Guards against a wrong statement whether a write may have taken effect. If no connection was
+// made, or the service rejected the request, nothing was written. If the connection ends without an
+// answer, the outcome is unknown: the write may have taken effect (a lost answer) or not (a service
+// that went down).
 func TestWriteFailures(t *testing.T) {
 	tests := map[string]struct {
 		fault       func(*table.Table)
@@ -107,7 +107,7 @@
 			t.Run(name+" "+size, func(t *testing.T) {
 				client, service := start(t)
 				ctx := context.Background()
-				_, err := client.Get(ctx, put("a", 0, "").Item.Key) // opens a connection that is used again
+				_, err := client.Get(ctx, put("a", 0, "").Item.Key) // opens a connection that is reused
 				qt.Assert(t, err, qt.ErrorIs, carawayspread.ErrNoItem)
 				test.fault(service)
 				err = client.Apply(ctx, append([]carawayspread.Write{put("a", 0, "t")}, more...)...)
--- a/internal/connection/dynamodb/write.go
+++ b/internal/connection/dynamodb/write.go
@@ -10,7 +10,7 @@
 	"carawayspread"
 )
 
-// condition is the condition of one write in the protocol's form.
+// condition is the condition of one write as encoded in the protocol.
 type condition struct {
 	expression *string
 	names      map[string]string
@@ -27,7 +27,7 @@
 	return condition{
 		expression: aws.String("#r = :r"),
 		names:      map[string]string{"#r": attributeRev},
-		values:     map[string]types.AttributeValue{":r": number(w.IfRev)},
+		values:     map[string]types.AttributeValue{":r": numberValue(w.IfRev)},
 	}
 }
 
--- a/internal/connection/s3/doc.go
+++ b/internal/connection/s3/doc.go
@@ -1,3 +1,3 @@
-// Package s3 speaks to the platform's object store over the S3 protocol.
-// Objects are whole and their writes idempotent, so the SDK repeats them.
+// Package s3 is a client of the platform's object store over the S3 protocol. Objects are written
+// as a whole, so writes are idempotent and the SDK retries them.
 package s3
--- a/internal/connection/s3/objects.go
+++ b/internal/connection/s3/objects.go
@@ -23,10 +23,10 @@
 	defaultRegion   = "local"
 	idleConnections = 4
 	idleConnTimeout = 90 * time.Second
-	maxObjectBytes  = 64 << 20 // bounds what a reader of one object holds
+	maxObjectBytes  = 64 << 20 // bounds the memory that reading one object takes
 )
 
-// Objects is the platform's object store. It is safe for concurrent use.
+// Objects is a client of the platform's object store. It is safe for concurrent use.
 type Objects struct {
 	client *s3.Client
 	http   *http.Client
@@ -40,10 +40,10 @@
 // Option sets an optional part of Objects.
 type Option func(*settings)
 
-// WithBucket names the bucket.
+// WithBucket sets the name of the bucket.
 func WithBucket(name string) Option { return func(s *settings) { s.bucket = name } }
 
-// WithRegion names the region that requests are signed for.
+// WithRegion sets the region that requests are signed for.
 func WithRegion(region string) Option { return func(s *settings) { s.region = region } }
 
 // WithCredentials sets the static credentials.
@@ -51,7 +51,7 @@
 	return func(s *settings) { s.id, s.secret = id, secret }
 }
 
-// New returns the object store at a base URL such as http://127.0.0.1:9000.
+// New returns a client of the object store at a base URL such as http://127.0.0.1:9000.
 func New(baseURL string, opts ...Option) *Objects {
 	s := settings{bucket: defaultBucket, region: defaultRegion, id: "none", secret: "none"}
 	for _, opt := range opts {
@@ -65,7 +65,7 @@
 		BaseEndpoint:               aws.String(baseURL),
 		Region:                     s.region,
 		Credentials:                credentials.NewStaticCredentialsProvider(s.id, s.secret, ""),
-		UsePathStyle:               true, // instances are reached by IP number
+		UsePathStyle:               true, // instances are addressed by IP address
 		HTTPClient:                 httpClient,
 		RequestChecksumCalculation: aws.RequestChecksumCalculationWhenRequired,
 		ResponseChecksumValidation: aws.ResponseChecksumValidationWhenRequired,
@@ -97,7 +97,7 @@
 	return body, nil
 }
 
-// Put stores a whole object, replacing an older one.
+// Put stores a whole object and replaces an existing one.
 func (o *Objects) Put(ctx context.Context, name string, body []byte) error {
 	_, err := o.client.PutObject(ctx, &s3.PutObjectInput{Bucket: &o.bucket, Key: &name, Body: bytes.NewReader(body)})
 	return trace.Wrap(err)
--- a/internal/connection/s3/objects_test.go
+++ b/internal/connection/s3/objects_test.go
@@ -14,8 +14,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// The caller stores a snapshot while the store loses the first answer. The SDK
-// repeats the write, which is harmless as it replaces the whole object.
+// The store loses the answer to the first write of a snapshot. The SDK retries the write, which is
+// harmless because it replaces the whole object.
 func TestPutSurvivesLostAnswer(t *testing.T) {
 	service := objects.New(carawayspread.SystemClock())
 	server := httptest.NewServer(service)
--- a/internal/connection/storetime/storetime.go
+++ b/internal/connection/storetime/storetime.go
@@ -1,11 +1,10 @@
-// Package storetime bounds what the steady clock of the platform's store shows now,
-// and so how old a statement is that bears a reading of it.
+// Package storetime bounds the current value of the monotonic clock of the platform's store, and
+// thus the age of information that carries a value of that clock.
 //
-// Load pattern: what the store confirmed to one process reaches the others by
-// messages that may be delayed, from senders that may have been suspended. An age
-// that a sender states, or that counts from the receipt, is short by that delay. A
-// reading of the store's clock is not: each process relates that clock to its own
-// uptime by calls of its own, whose beginning bounds the error.
+// What the store confirmed to one process reaches the others by messages that may be delayed, from
+// senders that may have been suspended. An age stated by the sender, or counted from the receipt,
+// is too short by that delay. A value of the store's clock is not: each process relates that clock
+// to its own uptime by its own calls, and the time at which a call started bounds the error.
 package storetime
 
 import (
@@ -15,68 +14,68 @@
 	"carawayspread"
 )
 
-// driftPart is the part by which the rates of two clocks may differ: 2%.
-const driftPart = 50
+// driftDivisor is the reciprocal of the largest relative difference between the rates of two
+// clocks: 1/50, or 2%.
+const driftDivisor = 50
 
-// observation is a reading of the store's clock that was taken after a moment.
+// observation is a value of the store's clock that was read after a known uptime.
 type observation struct {
-	asked time.Duration // uptime
-	stamp time.Duration // the store's clock
+	requestedAt time.Duration // uptime when the request was sent
+	storeTime   time.Duration // value of the store's clock
 }
 
-// latest returns the latest that the store's clock may show at the uptime.
+// latest returns the largest value that the store's clock may show at the uptime.
 func (o observation) latest(uptime time.Duration) time.Duration {
-	passed := uptime - o.asked
-	return o.stamp + passed + passed/driftPart
+	elapsed := uptime - o.requestedAt
+	return o.storeTime + elapsed + elapsed/driftDivisor
 }
 
 // Clock bounds the store's clock for one process. It is safe for concurrent use.
 type Clock struct {
 	uptime carawayspread.Uptime
 
-	mu   sync.Mutex
-	best observation // zero where there is none
+	mu       sync.Mutex
+	tightest observation // has the lowest bound; zero if there is none
 }
 
-// New returns a clock that knows nothing yet.
+// New returns a clock without observations.
 func New(uptime carawayspread.Uptime) *Clock { return &Clock{uptime: uptime} }
 
-// Observe takes a reading that was taken, or bounded by a peer, after the question
-// for it was asked at that uptime.
-func (c *Clock) Observe(asked, stamp time.Duration) {
-	if stamp <= 0 {
+// Observe records a value of the store's clock that was read, or bounded by a peer, after the
+// request for it was sent at the uptime requestedAt. Values that are not positive are ignored.
+func (c *Clock) Observe(requestedAt, storeTime time.Duration) {
+	if storeTime <= 0 {
 		return
 	}
 	now := c.uptime.Uptime()
-	next := observation{asked, stamp}
+	next := observation{requestedAt, storeTime}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.best.stamp == 0 || next.latest(now) < c.best.latest(now) {
-		c.best = next
+	if c.tightest.storeTime == 0 || next.latest(now) < c.tightest.latest(now) {
+		c.tightest = next
 	}
 }
 
-// Now returns the latest that the store's clock may show; false where nothing
-// relates it to this process.
+// Now returns the largest value that the store's clock may show; false if there is no observation.
 func (c *Clock) Now() (time.Duration, bool) {
 	now := c.uptime.Uptime()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.best.latest(now), c.best.stamp > 0
+	return c.tightest.latest(now), c.tightest.storeTime > 0
 }
 
-// Age returns the longest time that may have passed since the store's clock showed
-// the stamp; false where that cannot be said.
-func (c *Clock) Age(stamp time.Duration) (time.Duration, bool) {
+// Age returns the longest time that may have passed since the store's clock showed storeTime; false
+// if it is not known.
+func (c *Clock) Age(storeTime time.Duration) (time.Duration, bool) {
 	now, known := c.Now()
-	return max(0, now-stamp), known && stamp > 0
+	return max(0, now-storeTime), known && storeTime > 0
 }
 
-// Slack returns how much of the bound is there for drift since the last good
-// reading; false where there was none.
+// Slack returns the part of the bound that allows for drift since the best observation; false if
+// there is none.
 func (c *Clock) Slack() (time.Duration, bool) {
 	now := c.uptime.Uptime()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return (now - c.best.asked) / driftPart, c.best.stamp > 0
+	return (now - c.tightest.requestedAt) / driftDivisor, c.tightest.storeTime > 0
 }
