--- a/internal/connection/breaker/doc.go
+++ b/internal/connection/breaker/doc.go
@@ -1,14 +1,13 @@
-// Package breaker refuses requests to the table service at once while the
+// Package breaker is a circuit breaker that refuses requests to the table service at once while the
 // service is down.
 //
-// Load pattern: the store is down for hours. Without the breaker every request
-// that needs an agreement waits for its timeouts and repeats before it is
-// refused, which fills queues with work that cannot be done; and every such
-// request loads the store when it comes back.
+// The store may be down for hours. Without the breaker every request that needs the store would
+// wait for its timeouts and retries before it is refused, which fills queues with work that cannot
+// be done, and all these requests would load the store when it recovers.
 //
-// After a few failures in a row one trial at a time is let through, after waits
-// drawn by full jitter; everything else is refused at once, provably not sent
-// and with the time to come back. One success ends it. With 360 processes and
-// waits of up to 5 s, drawn evenly, a store that is down sees about 144 trials
-// a second, less than a tenth of the reads that it carries when it is up.
+// After a few consecutive failures one probe at a time is let through, after waits drawn with full
+// jitter. All other requests are refused at once, provably not sent and with the time after which
+// to retry. One success closes the breaker. With 360 processes and waits of up to 5 s, drawn
+// uniformly, a store that is down receives about 144 probes a second, less than a tenth of the
+// reads that it serves when it is up.
 package breaker
--- a/internal/connection/breaker/refusal.go
+++ b/internal/connection/breaker/refusal.go
@@ -7,22 +7,22 @@
 	"carawayspread"
 )
 
-// refusal is a request that was not sent to a table service known to be down.
+// refusal is the error of a request that was not sent because the table service is known to be
+// down.
 //
-// It is no *carawayspread.Error on purpose. That nothing was sent to the table
-// just now proves nothing of the caller's request, which may have run under an
-// earlier sending; as an *Error marked not run it would reach the caller as a
-// false "not run".
+// It is deliberately no *carawayspread.Error. That nothing was sent to the table this time does not
+// prove that the caller's request has not run: an earlier request with the same key may have run
+// it. An *Error marked as not run would reach the caller as a false "not run".
 type refusal struct {
 	wait time.Duration // positive
 }
 
 func (r *refusal) Error() string {
-	return fmt.Sprintf("%v: known to be down, next trial in %v", carawayspread.ErrUnavailable, r.wait)
+	return fmt.Sprintf("%v: known to be down, next probe in %v", carawayspread.ErrUnavailable, r.wait)
 }
 
 // Is matches carawayspread.ErrUnavailable.
 func (r *refusal) Is(target error) bool { return target == carawayspread.ErrUnavailable }
 
-// RetryAfter returns when the next request may be sent.
+// RetryAfter returns the time until the next request may be sent.
 func (r *refusal) RetryAfter() time.Duration { return r.wait }
--- a/internal/connection/breaker/table.go
+++ b/internal/connection/breaker/table.go
@@ -10,33 +10,32 @@
 	"carawayspread/internal/connection/backoff"
 )
 
-// defaultFailures lets a lost connection or two pass unnoticed.
-const defaultFailures = 5
+// defaultFailureThreshold tolerates one or two lost connections.
+const defaultFailureThreshold = 5
 
 // Table refuses requests while the table that it wraps is down.
 type Table struct {
-	inner    carawayspread.Table
-	clock    carawayspread.Clock
-	backoff  *backoff.Backoff
-	failures int // in a row, before requests are refused; at least 1
+	inner     carawayspread.Table
+	clock     carawayspread.Clock
+	backoff   *backoff.Backoff
+	threshold int // consecutive failures before requests are refused; at least 1
 
-	mu      sync.Mutex
-	failed  int       // in a row until now
-	next    time.Time // of the next trial, once failed has reached failures
-	trying  bool      // a trial is on its way
-	trialed int       // trials that failed in a row
+	mu           sync.Mutex
+	failures     int       // consecutive failures so far, at most threshold
+	nextProbe    time.Time // time of the next probe, once failures has reached threshold
+	probing      bool      // a probe is in flight
+	failedProbes int       // consecutive failed probes
 }
 
 // Option sets an optional part of a Table.
 type Option func(*Table)
 
-// WithFailures sets how many failures in a row count as an outage.
-func WithFailures(n int) Option { return func(t *Table) { t.failures = n } }
+// WithFailureThreshold sets how many consecutive failures count as an outage.
+func WithFailureThreshold(n int) Option { return func(t *Table) { t.threshold = n } }
 
-// New returns inner with refusals during an outage; backoff draws the waits
-// between trials.
+// New returns inner with refusals during an outage; backoff provides the waits between probes.
 func New(inner carawayspread.Table, clock carawayspread.Clock, backoff *backoff.Backoff, opts ...Option) *Table {
-	t := &Table{inner: inner, clock: clock, backoff: backoff, failures: defaultFailures}
+	t := &Table{inner: inner, clock: clock, backoff: backoff, threshold: defaultFailureThreshold}
 	for _, opt := range opts {
 		opt(t)
 	}
@@ -61,7 +60,7 @@
 	return items, err
 }
 
-// Apply carries out all writes or none.
+// Apply performs all writes or none.
 func (t *Table) Apply(ctx context.Context, writes ...carawayspread.Write) error {
 	return t.guard(ctx, func() error { return t.inner.Apply(ctx, writes...) })
 }
@@ -71,47 +70,48 @@
 		return &refusal{wait: wait}
 	}
 	err := send()
-	t.ended(ctx, err)
+	t.observe(ctx, err)
 	return err
 }
 
-// admit returns zero where the request may go, or when to come back.
+// admit returns zero if the request may be sent, and otherwise the time after which to retry.
 func (t *Table) admit() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.failed < t.failures {
+	if t.failures < t.threshold {
 		return 0
 	}
-	wait := t.next.Sub(t.clock.Now())
+	wait := t.nextProbe.Sub(t.clock.Now())
 	if wait > 0 {
 		return wait
 	}
-	if t.trying {
-		return t.backoff.Bound(t.trialed + 1)
+	if t.probing {
+		return t.backoff.Bound(t.failedProbes + 1)
 	}
-	t.trying = true
+	t.probing = true
 	return 0
 }
 
-func (t *Table) ended(ctx context.Context, err error) {
+func (t *Table) observe(ctx context.Context, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.trying = false
+	t.probing = false
 	if answered(err) {
-		t.failed, t.trialed = 0, 0
+		t.failures, t.failedProbes = 0, 0
 		return
 	}
-	if ctx.Err() != nil { // the caller's impatience tells nothing of the store
+	if ctx.Err() != nil { // a cancelled call says nothing about the store
 		return
 	}
-	t.failed = min(t.failed+1, t.failures)
-	if t.failed == t.failures {
-		t.trialed++
-		t.next = t.clock.Now().Add(t.backoff.Draw(t.trialed))
+	t.failures = min(t.failures+1, t.threshold)
+	if t.failures == t.threshold {
+		t.failedProbes++
+		t.nextProbe = t.clock.Now().Add(t.backoff.Draw(t.failedProbes))
 	}
 }
 
-// answered reports whether the store carried out the request or judged it.
+// answered reports whether the store processed the request; a missing item or a failed condition is
+// an answer as well.
 func answered(err error) bool {
 	return err == nil || errors.Is(err, carawayspread.ErrNoItem) || errors.Is(err, carawayspread.ErrCondition)
 }
--- a/internal/connection/breaker/table_test.go
+++ b/internal/connection/breaker/table_test.go
@@ -13,7 +13,7 @@
 	"carawayspread/internal/connection/backoff"
 )
 
-// store counts writes and answers all with one error.
+// store counts writes and answers all of them with the same error.
 type store struct {
 	carawayspread.Table
 	err   error
@@ -25,10 +25,10 @@
 	return s.err
 }
 
-// The store is down for an hour while a caller writes every second. After the
-// first failures callers are refused at once, as not written and with the time
-// to come back, but without a word on the request behind the write; the store
-// sees a trial now and then. Once it is back, the next trial ends the refusals.
+// The store is down for an hour while a caller writes every second. After the first failures
+// callers must be refused at once, with an error that states that the write was not sent and when
+// to retry but claims nothing about the request behind the write. The store receives only
+// occasional probes, and the first probe after its recovery ends the refusals.
 func TestOutage(t *testing.T) {
 	const limit = time.Minute
 	clock := clockwork.NewFakeClock()
@@ -43,11 +43,11 @@
 			continue
 		}
 		refused++
-		var timed interface{ RetryAfter() time.Duration }
-		qt.Assert(t, errors.As(err, &timed), qt.IsTrue)
-		qt.Assert(t, timed.RetryAfter() > 0 && timed.RetryAfter() <= limit, qt.IsTrue)
-		_, final := carawayspread.AsError(err)
-		qt.Assert(t, final, qt.IsFalse)
+		var withRetryAfter interface{ RetryAfter() time.Duration }
+		qt.Assert(t, errors.As(err, &withRetryAfter), qt.IsTrue)
+		qt.Assert(t, withRetryAfter.RetryAfter() > 0 && withRetryAfter.RetryAfter() <= limit, qt.IsTrue)
+		_, isCallerError := carawayspread.AsError(err)
+		qt.Assert(t, isCallerError, qt.IsFalse)
 	}
 	qt.Check(t, refused+s.calls, qt.Equals, 3600)
 	qt.Check(t, s.calls < 400, qt.IsTrue, qt.Commentf("%d writes reached the store", s.calls))
@@ -58,16 +58,16 @@
 	}
 }
 
-// A caller with little patience goes away again and again while the store is
-// slow but well. That must not cut off the others.
-func TestImpatientCallerIsNoOutage(t *testing.T) {
+// A caller cancels its calls again and again while the store is slow but works. Guards against
+// counting these as failures, which would refuse the requests of other callers.
+func TestCancelledCallsAreNoOutage(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	s := &store{err: context.Canceled}
 	table := New(s, clock, backoff.New(clock, time.Minute, time.Minute))
-	gone, leave := context.WithCancel(context.Background())
-	leave()
+	cancelled, cancel := context.WithCancel(context.Background())
+	cancel()
 	for range 100 {
-		qt.Assert(t, table.Apply(gone), qt.ErrorIs, context.Canceled)
+		qt.Assert(t, table.Apply(cancelled), qt.ErrorIs, context.Canceled)
 	}
 	s.err = nil
 	qt.Check(t, table.Apply(context.Background()), qt.IsNil)
--- a/internal/connection/metered/table.go
+++ b/internal/connection/metered/table.go
@@ -11,7 +11,7 @@
 	"carawayspread"
 )
 
-// outcomes names the outcomes in the order of their indexes below.
+// outcomes holds the label values of the outcomes, indexed by the constants below.
 var outcomes = [...]string{"ok", "noItem", "condition", "unavailable", "unknown"}
 
 const (
@@ -36,8 +36,8 @@
 	get, query, apply *operation
 }
 
-// New returns inner with metrics in the set. The layer names the place of the
-// decorator, so that callers' requests and those to the platform stay apart.
+// New returns inner with metrics in the set. The layer is the position of the decorator and keeps
+// the requests of callers apart from those to the platform.
 func New(inner carawayspread.Table, clock carawayspread.Clock, set *metrics.Set, layer string) *Table {
 	return &Table{
 		inner: inner,
@@ -60,8 +60,8 @@
 	return o
 }
 
-func (o *operation) ended(took time.Duration, items int, err error) {
-	o.seconds.Update(took.Seconds())
+func (o *operation) observe(duration time.Duration, items int, err error) {
+	o.seconds.Update(duration.Seconds())
 	o.requests[outcomeOf(err)].Inc()
 	if err == nil {
 		o.items.Add(items)
@@ -86,7 +86,7 @@
 func (t *Table) Get(ctx context.Context, key carawayspread.Key) (carawayspread.Item, error) {
 	start := t.clock.Now()
 	item, err := t.inner.Get(ctx, key)
-	t.get.ended(t.clock.Now().Sub(start), 1, err)
+	t.get.observe(t.clock.Now().Sub(start), 1, err)
 	return item, err
 }
 
@@ -94,14 +94,14 @@
 func (t *Table) Query(ctx context.Context, partition, after string, limit int) ([]carawayspread.Item, error) {
 	start := t.clock.Now()
 	items, err := t.inner.Query(ctx, partition, after, limit)
-	t.query.ended(t.clock.Now().Sub(start), len(items), err)
+	t.query.observe(t.clock.Now().Sub(start), len(items), err)
 	return items, err
 }
 
-// Apply carries out all writes or none.
+// Apply performs all writes or none.
 func (t *Table) Apply(ctx context.Context, writes ...carawayspread.Write) error {
 	start := t.clock.Now()
 	err := t.inner.Apply(ctx, writes...)
-	t.apply.ended(t.clock.Now().Sub(start), len(writes), err)
+	t.apply.observe(t.clock.Now().Sub(start), len(writes), err)
 	return err
 }
--- a/internal/connection/retry/table_test.go
+++ b/internal/connection/retry/table_test.go
@@ -15,35 +15,35 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// failing counts requests and fails all with one error.
-type failing struct {
+// failingTable counts requests and fails all of them with the same error.
+type failingTable struct {
 	carawayspread.Table
 	err   error
 	calls int
 }
 
-func (f *failing) Get(context.Context, carawayspread.Key) (carawayspread.Item, error) {
+func (f *failingTable) Get(context.Context, carawayspread.Key) (carawayspread.Item, error) {
 	f.calls++
 	return carawayspread.Item{}, f.err
 }
 
-func (f *failing) Apply(context.Context, ...carawayspread.Write) error {
+func (f *failingTable) Apply(context.Context, ...carawayspread.Write) error {
 	f.calls++
 	return f.err
 }
 
-// timed names the time to come back.
-type timed struct{ error }
+// retryAfterError is an error with a retry delay.
+type retryAfterError struct{ error }
 
-func (timed) RetryAfter() time.Duration { return time.Second }
-func (t timed) Unwrap() error           { return t.error }
+func (retryAfterError) RetryAfter() time.Duration { return time.Second }
+func (t retryAfterError) Unwrap() error           { return t.error }
 
-// A write of unknown outcome is sent once: a repeat would meet its own effect
-// and tell the caller that another had won. Reads and refused writes are sent
-// again. Nothing is sent again to a store that is known to be down.
-func TestWhatIsRepeated(t *testing.T) {
+// Guards against retries of a write of unknown outcome: a retry would see its own effect and report
+// to the caller that another writer had won. Reads and refused writes are retried. Nothing is
+// retried while the store is known to be down.
+func TestRetriedErrors(t *testing.T) {
 	lost := errors.New("connection closed")
-	outage := timed{carawayspread.ErrUnavailable}
+	outage := retryAfterError{carawayspread.ErrUnavailable}
 	tests := map[string]struct {
 		err           error
 		reads, writes int
@@ -56,11 +56,11 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			waits := backoff.New(carawayspread.SystemClock(), time.Microsecond, time.Microsecond)
-			reads, writes := &failing{err: test.err}, &failing{err: test.err}
-			_, err := New(reads, waits).Get(context.Background(), carawayspread.Key{})
+			retryBackoff := backoff.New(carawayspread.SystemClock(), time.Microsecond, time.Microsecond)
+			reads, writes := &failingTable{err: test.err}, &failingTable{err: test.err}
+			_, err := New(reads, retryBackoff).Get(context.Background(), carawayspread.Key{})
 			qt.Check(t, err, qt.Equals, test.err)
-			qt.Check(t, New(writes, waits).Apply(context.Background()), qt.Equals, test.err)
+			qt.Check(t, New(writes, retryBackoff).Apply(context.Background()), qt.Equals, test.err)
 			qt.Check(t, reads.calls, qt.Equals, test.reads)
 			qt.Check(t, writes.calls, qt.Equals, test.writes)
 		})
--- a/internal/connection/retryafter/retryafter_test.go
+++ b/internal/connection/retryafter/retryafter_test.go
@@ -15,17 +15,17 @@
 		want time.Duration
 		ok   bool
 	}{
-		"nothing":          {"", 0, false},
-		"seconds":          {"3", 3 * time.Second, true},
-		"a part of one":    {"0.25", 250 * time.Millisecond, true},
-		"none":             {"0", 0, true},
-		"a date":           {"Fri, 02 Jan 2026 03:04:15 GMT", 10 * time.Second, true},
-		"a date gone by":   {"Fri, 02 Jan 2026 03:00:00 GMT", 0, true},
-		"longer than ever": {"1e12", Longest, true},
-		"infinite":         {"Inf", Longest, true},
-		"negative":         {"-1", 0, false},
-		"no number":        {"NaN", 0, false},
-		"a word":           {"soon", 0, false},
+		"nothing":            {"", 0, false},
+		"seconds":            {"3", 3 * time.Second, true},
+		"fractional seconds": {"0.25", 250 * time.Millisecond, true},
+		"none":               {"0", 0, true},
+		"a date":             {"Fri, 02 Jan 2026 03:04:15 GMT", 10 * time.Second, true},
+		"a past date":        {"Fri, 02 Jan 2026 03:00:00 GMT", 0, true},
+		"above the maximum":  {"1e12", MaxDelay, true},
+		"infinite":           {"Inf", MaxDelay, true},
+		"negative":           {"-1", 0, false},
+		"no number":          {"NaN", 0, false},
+		"a word":             {"soon", 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, ok := Parse(http.Header{"Retry-After": {c.text}}, now)
@@ -41,6 +41,6 @@
 	f.Add("99999999999999999999")
 	f.Fuzz(func(t *testing.T, header string) {
 		wait, _ := Parse(http.Header{"Retry-After": {header}}, time.Unix(1, 0))
-		qt.Assert(t, wait >= 0 && wait <= Longest, qt.IsTrue)
+		qt.Assert(t, wait >= 0 && wait <= MaxDelay, qt.IsTrue)
 	})
 }
