--- a/internal/decision/authentication/authentication.go
+++ b/internal/decision/authentication/authentication.go
@@ -1,10 +1,10 @@
-// Package authentication decides whether a request may run for the API key that it
+// Package authentication decides whether a request may run under the API key that it
 // carries.
 //
-// Load pattern: keys are added and taken away while processes are cut off from the
-// platform's store, suspended, or behind. Without a bound on the age of its
-// knowledge a process runs requests under a key that was revoked long ago, or turns
-// a key away for good that was added a moment before.
+// Keys are added and revoked while processes are partitioned from the platform's store,
+// suspended or lagging. Without a bound on the age of its keyring, a process runs requests
+// under a key that was revoked long ago, or permanently rejects a key that was added a
+// moment before.
 package authentication
 
 import (
@@ -13,50 +13,50 @@
 	"carawayspread"
 )
 
-// Verdict is what becomes of a request.
+// Verdict is the result of the decision on a request.
 type Verdict int
 
 // Verdicts.
 const (
 	// Accept lets the request run for its workspace.
 	Accept Verdict = iota
-	// Reject says that no workspace holds the key.
+	// Reject means that no workspace holds the key.
 	Reject
-	// Unproven says that the key is known and may have been revoked.
+	// Unproven means that the key is in the keyring but may have been revoked since.
 	Unproven
-	// Unknown says that the key is not known here and may have been added.
+	// Unknown means that the key is not in the keyring but may have been added since.
 	Unknown
 )
 
-// Policy holds what operators are promised.
+// Policy holds the bounds that operators are guaranteed.
 type Policy struct {
-	// Revoked is the time from an accepted revocation after which nothing that is
-	// sent runs; zero where none is promised.
+	// Revoked is the time after an accepted revocation from which on no request that is
+	// sent under the key runs; zero means no guarantee.
 	Revoked time.Duration
-	// Added is the time from its acceptance after which an added key works everywhere;
-	// zero where none is promised.
+	// Added is the time after its acceptance from which on a new key works in all
+	// processes; zero means no guarantee.
 	Added time.Duration
 }
 
-// Query is what a decision on one request goes by.
+// Query is the input of the decision on one request.
 type Query struct {
 	Keyring *carawayspread.Keyring
-	Token   string        // empty where the request carries none that could be a key
+	Token   string        // empty if the request carries no well-formed key
 	Age     time.Duration // upper bound of the age of the keyring; ignored unless Known
-	Known   bool          // whether Age bounds anything
-	// Current says that the store was asked for a newer keyring after the request had
+	Known   bool          // whether Age is valid
+	// Current reports that the store was queried for a newer keyring after the request
 	// arrived, and has answered.
 	Current bool
-	// Rejected says that nobody held the key when the store was asked for it before.
+	// Rejected reports that no workspace held the key at an earlier query of the store.
 	Rejected bool
 }
 
 // Decide returns the workspace and whether the request may run for it.
 //
-// The age counts until now and the request was sent before it arrived, so a key
-// that passes was not revoked longer ago than promised when the request was sent. A key
-// that was rejected before is rejected again without a question while the keyring is
-// newer than added keys are promised to work.
+// The age is measured up to now and the request was sent before it arrived, so a key that
+// is accepted was not revoked longer than Revoked before the request was sent. A key that
+// was rejected before is rejected again without a query of the store while the keyring is
+// no older than Added.
 func (p Policy) Decide(q Query) (carawayspread.Workspace, Verdict) {
 	workspace, held := q.Keyring.Workspace(q.Token)
 	switch {
--- a/internal/decision/authentication/authentication_test.go
+++ b/internal/decision/authentication/authentication_test.go
@@ -20,22 +20,22 @@
 	})
 	tests := map[string]struct {
 		q    Query
-		none bool // no time is promised
+		none bool // no revocation bound is guaranteed
 		want Verdict
 	}{
-		"known, new":               {q: Query{Token: "good", Age: time.Second, Known: true}, want: Accept},
-		"known, at the bound":      {q: Query{Token: "good", Age: revoked, Known: true}, want: Accept},
-		"known, over the bound":    {q: Query{Token: "good", Age: revoked + 1, Known: true}, want: Unproven},
-		"known, no evidence":       {q: Query{Token: "good"}, want: Unproven},
-		"known, asked, too late":   {q: Query{Token: "good", Age: revoked + 1, Known: true, Current: true}, want: Unproven},
-		"known, nothing promised":  {q: Query{Token: "good"}, none: true, want: Accept},
-		"unknown, not asked":       {q: Query{Token: "bad", Known: true}, want: Unknown},
-		"unknown, asked":           {q: Query{Token: "bad", Known: true, Current: true}, want: Reject},
-		"rejected before":          {q: Query{Token: "bad", Age: added, Known: true, Rejected: true}, want: Reject},
-		"rejected before, old":     {q: Query{Token: "bad", Age: added + 1, Known: true, Rejected: true}, want: Unknown},
-		"rejected before, unknown": {q: Query{Token: "bad", Rejected: true}, want: Unknown},
-		"rejected before, added":   {q: Query{Token: "good", Age: added, Known: true, Rejected: true}, want: Accept},
-		"no token":                 {q: Query{Known: true}, want: Reject},
+		"known, fresh":            {q: Query{Token: "good", Age: time.Second, Known: true}, want: Accept},
+		"known, at the bound":     {q: Query{Token: "good", Age: revoked, Known: true}, want: Accept},
+		"known, over the bound":   {q: Query{Token: "good", Age: revoked + 1, Known: true}, want: Unproven},
+		"known, age unknown":      {q: Query{Token: "good"}, want: Unproven},
+		"known, current, too old": {q: Query{Token: "good", Age: revoked + 1, Known: true, Current: true}, want: Unproven},
+		"known, no guarantee":     {q: Query{Token: "good"}, none: true, want: Accept},
+		"unknown, not current":    {q: Query{Token: "bad", Known: true}, want: Unknown},
+		"unknown, current":        {q: Query{Token: "bad", Known: true, Current: true}, want: Reject},
+		"rejected before":         {q: Query{Token: "bad", Age: added, Known: true, Rejected: true}, want: Reject},
+		"rejected before, stale":  {q: Query{Token: "bad", Age: added + 1, Known: true, Rejected: true}, want: Unknown},
+		"rejected before, no age": {q: Query{Token: "bad", Rejected: true}, want: Unknown},
+		"rejected before, known":  {q: Query{Token: "good", Age: added, Known: true, Rejected: true}, want: Accept},
+		"no token":                {q: Query{Known: true}, want: Reject},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/decision/rejections/rejections.go
+++ b/internal/decision/rejections/rejections.go
@@ -1,8 +1,8 @@
-// Package rejections remembers API keys that no workspace held when the platform's
-// store was asked.
+// Package rejections is a negative cache of API keys that no workspace held when the
+// platform's store was queried.
 //
-// Load pattern: connected callers go on with a key that was taken away. Without it each
-// of their requests asks the store, or is refused as one that could not be asked for.
+// Connected callers may keep using a key that was revoked. Without the cache each of their
+// requests would query the store, or be refused as one whose key could not be checked.
 package rejections
 
 import (
@@ -11,24 +11,24 @@
 	"carawayspread"
 )
 
-// most bounds how many keys are remembered; a newer one takes the place of any.
-const most = 1024
+// maxKeys bounds the cached keys; a new key evicts an arbitrary one.
+const maxKeys = 1024
 
-// Rejections is one process's memory. It is safe for concurrent use.
+// Rejections is the cache of one process. It is safe for concurrent use.
 type Rejections struct {
 	mu   sync.Mutex
 	keys map[carawayspread.KeyDigest]bool
 }
 
-// New returns an empty memory.
+// New returns an empty cache.
 func New() *Rejections { return &Rejections{keys: map[carawayspread.KeyDigest]bool{}} }
 
-// Add notes that nobody held the key.
+// Add records that no workspace held the key.
 func (r *Rejections) Add(key carawayspread.KeyDigest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for other := range r.keys {
-		if len(r.keys) < most {
+		if len(r.keys) < maxKeys {
 			break
 		}
 		delete(r.keys, other)
@@ -36,7 +36,7 @@
 	r.keys[key] = true
 }
 
-// Holds reports whether nobody held the key when it was asked for.
+// Holds reports whether the key is cached as held by no workspace.
 func (r *Rejections) Holds(key carawayspread.KeyDigest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/decision/rejections/rejections_test.go
+++ b/internal/decision/rejections/rejections_test.go
@@ -9,14 +9,14 @@
 	"carawayspread"
 )
 
-// Guards against memory that grows with the keys that somebody guesses.
+// Guards against a cache that grows without bound when a caller guesses keys.
 func TestGuessesAreBounded(t *testing.T) {
 	r := New()
 	qt.Check(t, r.Holds(carawayspread.DigestKey("guess 0")), qt.IsFalse)
-	for i := range 3 * most {
+	for i := range 3 * maxKeys {
 		key := carawayspread.DigestKey(fmt.Sprint("guess ", i))
 		r.Add(key)
 		qt.Assert(t, r.Holds(key), qt.IsTrue)
-		qt.Assert(t, len(r.keys) <= most, qt.IsTrue)
+		qt.Assert(t, len(r.keys) <= maxKeys, qt.IsTrue)
 	}
 }
