--- a/internal/decision/backpressure/backpressure.go
+++ b/internal/decision/backpressure/backpressure.go
@@ -1,10 +1,10 @@
-// Package backpressure keeps what endpoints say of themselves in their answers, and
-// withholds requests from those that do not take them.
+// Package backpressure tracks the feedback that endpoints give in their responses, and
+// excludes endpoints that accept no requests at the moment.
 //
-// Load pattern: an endpoint knows before anyone else that it is in need. Processes
-// learn it from answers, which come at any time and also while the list of endpoints
-// cannot be read, and tell their peers. Without this the list and the outcomes of
-// attempts are all that is known of an endpoint, whatever it says.
+// An endpoint is the first to know that it is overloaded. Processes learn it from
+// responses, which arrive at any time, also while the list of endpoints cannot be read,
+// and forward it to their peers. Without this, only the list and the outcomes of attempts
+// are known of an endpoint, whatever feedback it gives.
 package backpressure
 
 import (
@@ -17,61 +17,62 @@
 )
 
 const (
-	// endTold is for how long peers are told again that a limit has ended, as one message
-	// may be lost.
-	endTold = 2 * time.Second
-	// memory is how long an endpoint is remembered that is not listed any more.
-	memory = 10 * time.Minute
-	// fleetLife is how long the account of the fleet's processes is used.
-	fleetLife = 500 * time.Millisecond
+	// endRepeat is how long the end of a limit is repeated to peers, since a message may be
+	// lost.
+	endRepeat = 2 * time.Second
+	// retention is how long the state of an endpoint is kept after it was last listed.
+	retention = 10 * time.Minute
+	// membershipTTL is how long a result of Membership is cached.
+	membershipTTL = 500 * time.Millisecond
 )
 
 // Fleet returns the name of this process and those of all that are heard, itself
 // included.
 type Fleet func() (self uint64, all []uint64)
 
-// state is what is known of one endpoint that has said something.
+// state is the feedback of one endpoint.
 type state struct {
-	limit *ratelimit.Limit // nil where no rate is named
-	// part of the rate is this process's, by the account of the fleet of that moment.
-	part   float64
-	partOf time.Time
-	ended  time.Time // when the last limit ended
-	// draining says that an answer has said so; it holds to the endpoint's end.
-	draining bool
-	closed   time.Time // until when it takes nothing from this process
-	listed   time.Time // when the endpoint was last seen in the list
+	limit *ratelimit.Limit // nil if no rate limit is in force
+	// share is this process's share of the rate, computed from the members as of sharedAt.
+	share    float64
+	sharedAt time.Time
+	ended    time.Time // when the last limit ended
+	// draining is set once a response reports it and stays set for the life of the endpoint.
+	draining    bool
+	pausedUntil time.Time // until then the endpoint accepts nothing from this process
+	listed      time.Time // when the endpoint was last in the list
 }
 
-// done reports whether nothing holds any more of what the endpoint has said.
-func (s *state) done(now time.Time) bool {
-	return s.limit == nil && !s.draining && !s.closed.After(now) && now.Sub(s.ended) > endTold
+// expired reports whether none of the endpoint's feedback is in force any more.
+func (s *state) expired(now time.Time) bool {
+	return s.limit == nil && !s.draining && !s.pausedUntil.After(now) && now.Sub(s.ended) > endRepeat
 }
 
-// Backpressure is one process's account of all endpoints. It is safe for concurrent use.
+// Backpressure tracks the feedback of all endpoints in one process. It is safe for
+// concurrent use.
 type Backpressure struct {
 	clock  carawayspread.Clock
 	fleet  Fleet
-	active atomic.Bool // there are states; requests of a calm fleet look no further
+	active atomic.Bool // states is not empty; lets requests skip the lock while no endpoint gives feedback
 
 	mu     sync.Mutex
 	states map[carawayspread.EndpointID]*state
 	self   uint64
 	all    []uint64
-	asked  time.Time // when fleet was last called
+	readAt time.Time // when fleet was last called
 }
 
-// New returns an account of endpoints that have said nothing.
+// New returns a tracker without feedback.
 func New(clock carawayspread.Clock, fleet Fleet) *Backpressure {
 	return &Backpressure{clock: clock, fleet: fleet, states: map[carawayspread.EndpointID]*state{}}
 }
 
-// Answered takes what an answer says of its endpoint, and when its request was sent. It
-// reports whether that is new, and whether peers are to be told.
+// Answered applies the feedback of a response whose request was sent at the given time. It
+// reports whether the state changed, and whether the feedback is to be forwarded to peers.
 //
-// Answers on different connections overtake each other: one that names no rate ends a
-// limit only if its request was sent after the limit was last named.
-func (b *Backpressure) Answered(id carawayspread.EndpointID, sent time.Time, f carawayspread.Feedback) (changed, tell bool) {
+// Responses on different connections are reordered: one without a rate ends a limit only
+// if its request was sent after the limit was last reported.
+func (b *Backpressure) Answered(id carawayspread.EndpointID, sent time.Time, f carawayspread.Feedback) (changed, forward bool) {
 	if f == (carawayspread.Feedback{}) && !b.active.Load() {
 		return false, false
 	}
@@ -83,42 +84,42 @@
 		s.limit, s.ended = nil, now
 		changed = true
 	}
-	f.RetryAfter = 0 // a refusal's to say
-	changed = b.note(now, id, f) || changed
-	return changed, f != (carawayspread.Feedback{}) || s != nil && s.limit == nil && now.Sub(s.ended) < endTold
+	f.RetryAfter = 0 // counts only in a refusal
+	changed = b.apply(now, id, f) || changed
+	return changed, f != (carawayspread.Feedback{}) || s != nil && s.limit == nil && now.Sub(s.ended) < endRepeat
 }
 
-// Refused takes what an endpoint says that turned a request away. The refusal may come
-// from before the part that names rates: it ends no limit. For how long the endpoint
-// wants nothing holds for this process alone.
-func (b *Backpressure) Refused(id carawayspread.EndpointID, f carawayspread.Feedback) (changed, tell bool) {
+// Refused applies the feedback of an endpoint that refused a request. It ends no limit,
+// since the refusal may come from a component in front of the one that reports rates. The
+// retry-after time applies to this process only.
+func (b *Backpressure) Refused(id carawayspread.EndpointID, f carawayspread.Feedback) (changed, forward bool) {
 	if f == (carawayspread.Feedback{}) {
 		return false, false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	changed = b.note(b.clock.Now(), id, f)
+	changed = b.apply(b.clock.Now(), id, f)
 	return changed, f.Limited || f.Draining
 }
 
-// Heard takes what an answer to a peer says of its endpoint, and reports whether that is
-// new.
+// Heard applies the feedback that a peer got in a response, and reports whether the state
+// changed.
 func (b *Backpressure) Heard(id carawayspread.EndpointID, f carawayspread.Feedback) (changed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.clock.Now()
-	f.RetryAfter = 0 // the peer's own
+	f.RetryAfter = 0 // applies to the peer only
 	if s := b.states[id]; s != nil && !f.Limited && s.limit != nil {
 		s.limit, s.ended = nil, now
 		changed = true
 	}
-	return b.note(now, id, f) || changed
+	return b.apply(now, id, f) || changed
 }
 
-// note takes what holds from now on, and reports whether it is new.
-func (b *Backpressure) note(now time.Time, id carawayspread.EndpointID, f carawayspread.Feedback) (changed bool) {
+// apply stores feedback that holds from now on, and reports whether the state changed.
+func (b *Backpressure) apply(now time.Time, id carawayspread.EndpointID, f carawayspread.Feedback) (changed bool) {
 	if f.Limited {
-		changed = b.name(now, id, f.Rate)
+		changed = b.setRate(now, id, f.Rate)
 	}
 	if f.Draining {
 		s := b.state(now, id)
@@ -127,23 +128,23 @@
 	}
 	if f.RetryAfter > 0 {
 		s := b.state(now, id)
-		changed = !s.closed.After(now) || changed
-		s.closed = later(s.closed, now.Add(f.RetryAfter))
+		changed = !s.pausedUntil.After(now) || changed
+		s.pausedUntil = later(s.pausedUntil, now.Add(f.RetryAfter))
 	}
 	return changed
 }
 
-// name takes a rate and reports whether it is new.
-func (b *Backpressure) name(now time.Time, id carawayspread.EndpointID, rate float64) bool {
+// setRate stores the rate limit of an endpoint and reports whether it changed.
+func (b *Backpressure) setRate(now time.Time, id carawayspread.EndpointID, rate float64) bool {
 	s := b.state(now, id)
 	if s.limit == nil {
-		s.limit, s.partOf = ratelimit.New(now, rate), time.Time{}
+		s.limit, s.sharedAt = ratelimit.New(now, rate), time.Time{}
 		return true
 	}
 	before := s.limit.Rate()
 	s.limit.Named(now, rate)
 	if rate != before {
-		s.partOf = time.Time{}
+		s.sharedAt = time.Time{}
 	}
 	return rate != before
 }
@@ -158,9 +159,10 @@
 	return s
 }
 
-// Listed takes the endpoints of the newest list, and returns them as leaving where they
-// have said so themselves: the list may be older. What is known of one that is missing
-// is kept for a while, since an entry may be gone and come back.
+// Listed returns the endpoints of the newest list, with those marked as leaving that have
+// reported it themselves: the list may be older than their responses. The state of an
+// endpoint that is missing from the list is kept for the retention time, since its entry
+// may disappear and reappear.
 func (b *Backpressure) Listed(endpoints []carawayspread.Endpoint) []carawayspread.Endpoint {
 	if !b.active.Load() {
 		return endpoints
@@ -179,7 +181,7 @@
 		listed = append(listed, endpoint)
 	}
 	for id, s := range b.states {
-		if now.Sub(s.listed) > memory || s.done(now) {
+		if now.Sub(s.listed) > retention || s.expired(now) {
 			delete(b.states, id)
 		}
 	}
@@ -187,8 +189,8 @@
 	return listed
 }
 
-// Withheld adds to the set all endpoints that take nothing from this process now. The
-// set is not modified.
+// Withheld returns the set with all endpoints added that accept nothing from this process
+// now. The given set is not modified.
 func (b *Backpressure) Withheld(set map[carawayspread.EndpointID]bool) map[carawayspread.EndpointID]bool {
 	if !b.active.Load() {
 		return set
@@ -196,24 +198,25 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.clock.Now()
-	with := make(map[carawayspread.EndpointID]bool, len(set)+len(b.states))
+	extended := make(map[carawayspread.EndpointID]bool, len(set)+len(b.states))
 	for id := range set {
-		with[id] = true
+		extended[id] = true
 	}
 	for id, s := range b.states {
-		if !b.open(now, id, s) {
-			with[id] = true
+		if !b.accepts(now, id, s) {
+			extended[id] = true
 		}
 	}
-	return with
+	return extended
 }
 
-// open reports whether the endpoint takes a request from this process now.
-func (b *Backpressure) open(now time.Time, id carawayspread.EndpointID, s *state) bool {
-	return !s.draining && !s.closed.After(now) && (s.limit == nil || s.limit.Allows(now, b.part(now, id, s)))
+// accepts reports whether the endpoint accepts a request from this process now.
+func (b *Backpressure) accepts(now time.Time, id carawayspread.EndpointID, s *state) bool {
+	return !s.draining && !s.pausedUntil.After(now) && (s.limit == nil || s.limit.Allows(now, b.share(now, id, s)))
 }
 
-// Take is called before a request is sent; false where the endpoint takes none now.
+// Take consumes the permission to send one request; false if the endpoint accepts none now.
+// It is to be called before each request.
 func (b *Backpressure) Take(id carawayspread.EndpointID) bool {
 	if !b.active.Load() {
 		return true
@@ -225,11 +228,11 @@
 	if s == nil {
 		return true
 	}
-	return b.open(now, id, s) && (s.limit == nil || s.limit.Take(now, b.part(now, id, s)))
+	return b.accepts(now, id, s) && (s.limit == nil || s.limit.Take(now, b.share(now, id, s)))
 }
 
-// Opens returns when the first of the endpoints that are withheld for a time takes a
-// request from this process again; zero where none is.
+// Opens returns the time until the first of the temporarily unavailable endpoints accepts a
+// request from this process again; zero if none is temporarily unavailable.
 func (b *Backpressure) Opens(endpoints []carawayspread.Endpoint) time.Duration {
 	if !b.active.Load() {
 		return 0
@@ -243,9 +246,9 @@
 		if s == nil || s.draining {
 			continue
 		}
-		wait := max(0, s.closed.Sub(now))
+		wait := max(0, s.pausedUntil.Sub(now))
 		if s.limit != nil {
-			wait = max(wait, s.limit.Wait(now, b.part(now, endpoint.ID(), s)))
+			wait = max(wait, s.limit.Wait(now, b.share(now, endpoint.ID(), s)))
 		}
 		if wait > 0 && (first == 0 || wait < first) {
 			first = wait
@@ -261,15 +264,15 @@
 	return a
 }
 
-// part returns this process's part of the endpoint's rate, which is drawn again as often
-// as the fleet is looked at: it takes a hash for each process.
-func (b *Backpressure) part(now time.Time, id carawayspread.EndpointID, s *state) float64 {
-	if b.all == nil || now.Sub(b.asked) >= fleetLife {
+// share returns this process's share of the endpoint's rate. It is recomputed only when the
+// members are read again, since it costs one hash for each process.
+func (b *Backpressure) share(now time.Time, id carawayspread.EndpointID, s *state) float64 {
+	if b.all == nil || now.Sub(b.readAt) >= membershipTTL {
 		b.self, b.all = b.fleet()
-		b.asked = now
+		b.readAt = now
 	}
-	if !s.partOf.Equal(b.asked) {
-		s.part, s.partOf = ratelimit.Part(string(id), s.limit.Rate(), b.self, b.all), b.asked
+	if !s.sharedAt.Equal(b.readAt) {
+		s.share, s.sharedAt = ratelimit.Part(string(id), s.limit.Rate(), b.self, b.all), b.readAt
 	}
-	return s.part
+	return s.share
 }
--- a/internal/decision/backpressure/backpressure_test.go
+++ b/internal/decision/backpressure/backpressure_test.go
@@ -19,104 +19,106 @@
 
 var none carawayspread.Feedback
 
-func withholds(b *Backpressure, id carawayspread.EndpointID) bool { return b.Withheld(nil)[id] }
+func excludes(b *Backpressure, id carawayspread.EndpointID) bool { return b.Withheld(nil)[id] }
 
-// Answers overtake each other, and refusals may come from before the part that names
-// rates: a limit ends by an answer to a request that was sent after it was last named.
+// Guards against a limit that ends too early: responses are reordered, and refusals may come
+// from a component in front of the one that reports rates. Only a response to a request that
+// was sent after the limit was last reported ends it.
 func TestLimitEndsByALaterAnswer(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	b := New(clock, alone)
 	before := clock.Now()
 	clock.Advance(time.Millisecond)
-	changed, tell := b.Answered("w", before, limit(2))
-	qt.Check(t, changed && tell, qt.IsTrue)
-	changed, tell = b.Answered("w", before, limit(2))
-	qt.Check(t, !changed && tell, qt.IsTrue, qt.Commentf("peers are told each time"))
+	changed, forward := b.Answered("w", before, limit(2))
+	qt.Check(t, changed && forward, qt.IsTrue)
+	changed, forward = b.Answered("w", before, limit(2))
+	qt.Check(t, !changed && forward, qt.IsTrue, qt.Commentf("forwarded to peers each time"))
 
-	changed, tell = b.Answered("w", before, none)
-	qt.Check(t, changed || tell, qt.IsFalse)
-	changed, tell = b.Refused("w", none)
-	qt.Check(t, changed || tell, qt.IsFalse)
-	qt.Check(t, withholds(b, "w"), qt.IsTrue)
+	changed, forward = b.Answered("w", before, none)
+	qt.Check(t, changed || forward, qt.IsFalse)
+	changed, forward = b.Refused("w", none)
+	qt.Check(t, changed || forward, qt.IsFalse)
+	qt.Check(t, excludes(b, "w"), qt.IsTrue)
 
 	clock.Advance(time.Millisecond)
 	after := clock.Now()
-	changed, tell = b.Answered("w", after, none)
-	qt.Check(t, changed && tell, qt.IsTrue)
-	qt.Check(t, withholds(b, "w"), qt.IsFalse)
-	changed, tell = b.Answered("w", after, none)
-	qt.Check(t, !changed && tell, qt.IsTrue, qt.Commentf("told again, as messages are lost"))
-	clock.Advance(endTold)
-	_, tell = b.Answered("w", clock.Now(), none)
-	qt.Check(t, tell, qt.IsFalse)
+	changed, forward = b.Answered("w", after, none)
+	qt.Check(t, changed && forward, qt.IsTrue)
+	qt.Check(t, excludes(b, "w"), qt.IsFalse)
+	changed, forward = b.Answered("w", after, none)
+	qt.Check(t, !changed && forward, qt.IsTrue, qt.Commentf("forwarded again, since messages may be lost"))
+	clock.Advance(endRepeat)
+	_, forward = b.Answered("w", clock.Now(), none)
+	qt.Check(t, forward, qt.IsFalse)
 }
 
-func TestPeersAreBelieved(t *testing.T) {
+func TestFeedbackFromPeersApplies(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	b := New(clock, alone)
 	qt.Check(t, b.Heard("w", none), qt.IsFalse)
 	qt.Check(t, b.Heard("w", limit(1)), qt.IsTrue)
 	qt.Check(t, b.Heard("w", limit(1)), qt.IsFalse)
-	qt.Check(t, withholds(b, "w"), qt.IsTrue)
+	qt.Check(t, excludes(b, "w"), qt.IsTrue)
 	qt.Check(t, b.Take("w"), qt.IsFalse)
 	qt.Check(t, b.Take("v"), qt.IsTrue)
 	clock.Advance(time.Second)
-	qt.Check(t, withholds(b, "w"), qt.IsFalse)
+	qt.Check(t, excludes(b, "w"), qt.IsFalse)
 	qt.Check(t, b.Take("w"), qt.IsTrue)
-	qt.Check(t, withholds(b, "w"), qt.IsTrue)
+	qt.Check(t, excludes(b, "w"), qt.IsTrue)
 	qt.Check(t, b.Heard("w", none), qt.IsTrue)
-	qt.Check(t, withholds(b, "w"), qt.IsFalse)
+	qt.Check(t, excludes(b, "w"), qt.IsFalse)
 }
 
-// An entry is gone while the store is down and comes back: what its endpoint said holds.
-// Endpoints that are gone for good cost nothing for ever.
+// Guards against feedback that is lost while an endpoint's entry is missing from the list, as
+// during an outage of the store, and against state that is kept forever for endpoints that
+// were removed.
 func TestListDoesNotForgetFeedback(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	b := New(clock, alone)
 	other := carawayspread.NewEndpoint("v", "s", "z", "10.0.0.1:1", false)
 	b.Heard("w", limit(0))
 	b.Listed([]carawayspread.Endpoint{other})
-	qt.Check(t, withholds(b, "w"), qt.IsTrue)
-	clock.Advance(memory + 1)
+	qt.Check(t, excludes(b, "w"), qt.IsTrue)
+	clock.Advance(retention + 1)
 	b.Listed([]carawayspread.Endpoint{other})
 	qt.Check(t, b.states, qt.HasLen, 0)
 	qt.Check(t, b.active.Load(), qt.IsFalse)
 }
 
-// The endpoints that a request has met already are not changed by what is withheld.
-func TestWithheldLeavesTheSetAlone(t *testing.T) {
+// Guards against an exclusion that modifies a request's set of endpoints already tried.
+func TestWithheldDoesNotModifyTheSet(t *testing.T) {
 	b := New(clockwork.NewFakeClock(), alone)
-	met := map[carawayspread.EndpointID]bool{"v": true}
+	tried := map[carawayspread.EndpointID]bool{"v": true}
 	b.Heard("w", limit(1))
-	qt.Check(t, b.Withheld(met), qt.DeepEquals, map[carawayspread.EndpointID]bool{"v": true, "w": true})
-	qt.Check(t, met, qt.DeepEquals, map[carawayspread.EndpointID]bool{"v": true})
+	qt.Check(t, b.Withheld(tried), qt.DeepEquals, map[carawayspread.EndpointID]bool{"v": true, "w": true})
+	qt.Check(t, tried, qt.DeepEquals, map[carawayspread.EndpointID]bool{"v": true})
 }
 
-// A pause is asked of one process, by a refusal: a success that carries the same header
-// speaks to the caller, and a peer's pause is the peer's.
-func TestPauseIsOfTheProcessThatWasRefused(t *testing.T) {
+// A retry-after time applies only to the process whose request was refused: in a successful
+// response the header is meant for the caller, and one that a peer got applies to the peer.
+func TestRetryAfterAppliesToTheRefusedProcess(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	b := New(clock, alone)
 	pause := carawayspread.Feedback{RetryAfter: time.Second}
 	b.Answered("w", clock.Now(), pause)
 	b.Heard("w", pause)
-	qt.Check(t, withholds(b, "w"), qt.IsFalse)
-	changed, tell := b.Refused("w", pause)
-	qt.Check(t, changed && !tell, qt.IsTrue)
+	qt.Check(t, excludes(b, "w"), qt.IsFalse)
+	changed, forward := b.Refused("w", pause)
+	qt.Check(t, changed && !forward, qt.IsTrue)
 	clock.Advance(500 * time.Millisecond)
 	changed, _ = b.Refused("w", carawayspread.Feedback{RetryAfter: 100 * time.Millisecond})
 	qt.Check(t, changed, qt.IsFalse)
 	clock.Advance(499 * time.Millisecond)
-	qt.Check(t, withholds(b, "w") && !b.Take("w"), qt.IsTrue)
+	qt.Check(t, excludes(b, "w") && !b.Take("w"), qt.IsTrue)
 	clock.Advance(time.Millisecond)
-	qt.Check(t, !withholds(b, "w") && b.Take("w"), qt.IsTrue)
-	clock.Advance(endTold)
+	qt.Check(t, !excludes(b, "w") && b.Take("w"), qt.IsTrue)
+	clock.Advance(endRepeat)
 	b.Listed(nil)
 	qt.Check(t, b.states, qt.HasLen, 0)
 }
 
-// The first endpoint that opens again is named, and none that never will.
-func TestOpensNamesTheFirst(t *testing.T) {
+// The first endpoint that becomes available again counts, and none that never will.
+func TestOpensReturnsTheFirst(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	b := New(clock, alone)
 	var all []carawayspread.Endpoint
@@ -134,9 +136,9 @@
 	qt.Check(t, b.Opens(all), qt.Equals, 5*time.Second)
 }
 
-// An endpoint that leaves is named as ready by a list that is older than its answer. It
-// keeps its identifier to its end, so that it never takes work again.
-func TestDrainingHoldsAgainstTheList(t *testing.T) {
+// Guards against requests to a draining endpoint that a list older than its response still
+// shows as ready. An endpoint keeps its identifier for life, so that draining never ends.
+func TestDrainingOverridesTheList(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	b := New(clock, alone)
 	list := []carawayspread.Endpoint{
@@ -148,14 +150,15 @@
 		got := b.Listed(list)
 		qt.Check(t, got[0].Leaving(), qt.IsFalse)
 		qt.Check(t, got[1].Leaving(), qt.IsTrue)
-		qt.Check(t, withholds(b, "w"), qt.IsTrue)
+		qt.Check(t, excludes(b, "w"), qt.IsTrue)
 		qt.Check(t, b.Take("w"), qt.IsFalse)
-		clock.Advance(memory)
+		clock.Advance(retention)
 		b.Answered("w", clock.Now(), none)
 	}
 }
 
-// A placement of the process that uses few of the endpoints, in a fleet of 360.
+// Measures the exclusion for one placement in a fleet of 360 processes, where this process
+// has a share of few of the limited endpoints.
 func BenchmarkWithheld(b *testing.B) {
 	fleet := make([]uint64, 360)
 	for n := range fleet {
@@ -167,9 +170,9 @@
 			for n := range limited {
 				p.Heard(carawayspread.EndpointID(fmt.Sprint("i-", n)), limit(2))
 			}
-			met := map[carawayspread.EndpointID]bool{}
+			tried := map[carawayspread.EndpointID]bool{}
 			for b.Loop() {
-				p.Withheld(met)
+				p.Withheld(tried)
 			}
 		})
 	}
--- a/internal/decision/ratelimit/limit.go
+++ b/internal/decision/ratelimit/limit.go
@@ -1,97 +1,98 @@
-// Package ratelimit keeps the requests of all processes to one endpoint under the rate
-// that the endpoint names.
+// Package ratelimit keeps the requests of all processes to one endpoint within the rate
+// that the endpoint reports.
 //
-// Load pattern: an endpoint in need names in its answers how many requests a second it
-// takes, and many processes use it. Without this each of them goes on as before, and an
-// endpoint that answers fast because it has little to do looks the best of all. If each
-// process kept to the whole rate, the sum would grow with the fleet; if each had an equal
-// part, a rate below one request a second for each process would let all of them send
-// their first request at once.
+// An overloaded endpoint reports in its responses how many requests per second it accepts,
+// and many processes use it. Without the limit each of them would continue as before, and
+// an endpoint that responds fast because it has little load would look best of all. If each
+// process applied the whole rate, the sum would grow with the fleet; with equal shares for
+// all, at a rate below one request per second and process all of them would send their
+// first request at once.
 //
-// As many processes use the endpoint as it takes requests in a second, one at least. All
-// processes draw the same ones without asking each other. Each has an equal part of the
-// rate and may save up one request, so that in any time no more arrive than the rate
-// allows in it and one second more.
+// The endpoint is used by as many processes as it accepts requests per second, at least
+// one. All processes select the same ones without coordination. Each has an equal share of
+// the rate and a burst of one request, so that in any time span no more requests arrive
+// than the rate allows in that span plus one second.
 package ratelimit
 
 import "time"
 
 const (
-	// burst is how many requests a process may save up.
+	// burst is the maximum number of tokens of a process.
 	burst = 1
-	// lapse is when a rate that no answer has named again is tried: one request of
-	// each process in that time finds out whether it still holds.
-	//
-	// Failure: the processes that use an endpoint have no callers for it, or all that
-	// told of its end was lost. Symptom: the endpoint gets nothing for ever.
-	lapse = 15 * time.Second
+	// probeInterval is the time after which a rate that no response has reported again is
+	// probed: each process may send one request per interval to find out whether the rate
+	// still holds. Without probes an endpoint would never get a request again if the
+	// processes that have a share of it have no callers for it, or if every message about
+	// the end of the limit was lost.
+	probeInterval = 15 * time.Second
 )
 
-// Limit is what one process may send to one endpoint. Its callers serialise their calls.
+// Limit is the token bucket of one process for one endpoint. It is not safe for concurrent
+// use.
 type Limit struct {
-	rate   float64   // requests a second of all processes; not negative
-	named  time.Time // when an answer, here or at a peer, last named the rate
-	tried  time.Time // when the last request without a token was sent
-	tokens float64   // requests that may be sent now; 0 to burst
-	filled time.Time // up to which tokens are counted
+	rate     float64   // requests per second of all processes; not negative
+	reported time.Time // when a response, here or at a peer, last reported the rate
+	probed   time.Time // when the last request without a token was sent
+	tokens   float64   // requests that may be sent now; 0 to burst
+	filled   time.Time // when tokens was last refilled
 }
 
-// New returns a limit that an answer has just named. Nothing is saved up yet: what the
-// endpoint got before counts as well.
+// New returns a limit that a response has just reported. It starts without a token, since
+// the requests that the endpoint got before count as well.
 func New(now time.Time, rate float64) *Limit {
-	return &Limit{rate: rate, named: now, tried: now, filled: now}
+	return &Limit{rate: rate, reported: now, probed: now, filled: now}
 }
 
-// Named takes the rate that an answer names.
-func (l *Limit) Named(now time.Time, rate float64) { l.rate, l.named = rate, now }
+// Named sets the rate that a response has just reported.
+func (l *Limit) Named(now time.Time, rate float64) { l.rate, l.reported = rate, now }
 
-// Since returns when an answer last named the rate.
-func (l *Limit) Since() time.Time { return l.named }
+// Since returns when a response last reported the rate.
+func (l *Limit) Since() time.Time { return l.reported }
 
-// Rate returns the requests a second that the endpoint takes from all processes.
+// Rate returns the requests per second that the endpoint accepts from all processes.
 func (l *Limit) Rate() float64 { return l.rate }
 
-// Allows reports whether a request may be sent now by a process that has that part of
-// the rate, from 0 to 1.
-func (l *Limit) Allows(now time.Time, part float64) bool {
-	l.fill(now, part)
-	return l.tokens >= 1 || l.lapsed(now)
+// Allows reports whether a process with that share of the rate, from 0 to 1, may send a
+// request now.
+func (l *Limit) Allows(now time.Time, share float64) bool {
+	l.refill(now, share)
+	return l.tokens >= 1 || l.probeDue(now)
 }
 
-// Take sends a request; false where none may be sent now.
-func (l *Limit) Take(now time.Time, part float64) bool {
-	l.fill(now, part)
+// Take consumes the token or the probe for one request; false if none may be sent now.
+func (l *Limit) Take(now time.Time, share float64) bool {
+	l.refill(now, share)
 	switch {
 	case l.tokens >= 1:
 		l.tokens--
-	case l.lapsed(now):
-		l.tried = now
+	case l.probeDue(now):
+		l.probed = now
 	default:
 		return false
 	}
 	return true
 }
 
-// Wait returns how long it takes until a request may be sent by a process that has that
-// part of the rate, or by another one where it has none.
-func (l *Limit) Wait(now time.Time, part float64) time.Duration {
-	l.fill(now, part)
-	if part == 0 {
-		part = 1
+// Wait returns the time until a process with that share of the rate may send a request, or,
+// if the share is zero, until another process may.
+func (l *Limit) Wait(now time.Time, share float64) time.Duration {
+	l.refill(now, share)
+	if share == 0 {
+		share = 1
 	}
-	if l.rate*part*lapse.Seconds() < 1 {
-		return lapse
+	if l.rate*share*probeInterval.Seconds() < 1 {
+		return probeInterval
 	}
-	return time.Duration(max(0, 1-l.tokens) / (l.rate * part) * float64(time.Second))
+	return time.Duration(max(0, 1-l.tokens) / (l.rate * share) * float64(time.Second))
 }
 
-func (l *Limit) lapsed(now time.Time) bool {
-	return now.Sub(l.named) >= lapse && now.Sub(l.tried) >= lapse
+func (l *Limit) probeDue(now time.Time) bool {
+	return now.Sub(l.reported) >= probeInterval && now.Sub(l.probed) >= probeInterval
 }
 
-func (l *Limit) fill(now time.Time, part float64) {
+func (l *Limit) refill(now time.Time, share float64) {
 	if d := now.Sub(l.filled); d > 0 {
-		l.tokens = min(burst, l.tokens+l.rate*part*d.Seconds())
+		l.tokens = min(burst, l.tokens+l.rate*share*d.Seconds())
 		l.filled = now
 	}
 }
--- a/internal/decision/ratelimit/limit_test.go
+++ b/internal/decision/ratelimit/limit_test.go
@@ -11,7 +11,7 @@
 
 var start = time.Unix(1000, 0)
 
-// fleet is the limits of all processes for one endpoint.
+// fleet holds the limits of all processes for one endpoint.
 type fleet struct {
 	names  []uint64
 	limits []*Limit
@@ -27,10 +27,10 @@
 	return f
 }
 
-func (f *fleet) part(n int) float64 { return Part("endpoint", f.rate, f.names[n], f.names) }
+func (f *fleet) share(n int) float64 { return Part("endpoint", f.rate, f.names[n], f.names) }
 
-// Whatever processes send and however they meet, the endpoint gets in any time no more
-// than its rate allows in it and one second more.
+// Guards against an endpoint that gets more requests than it reported, however the processes
+// send: in any time span it gets no more than its rate allows in that span plus one second.
 func TestRateHoldsForAllProcessesTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(1, 40).Draw(t, "processes"), float64(rapid.IntRange(0, 200).Draw(t, "deciRate"))/10)
@@ -40,9 +40,9 @@
 		for i, ms := range pauses {
 			now = now.Add(time.Duration(ms) * time.Millisecond)
 			for n, limit := range f.limits {
-				limit.Named(now, f.rate) // by any of the answers
+				limit.Named(now, f.rate) // by any response
 				for range 1 + i%3 {
-					if limit.Take(now, f.part(n)) {
+					if limit.Take(now, f.share(n)) {
 						sent = append(sent, now)
 					}
 				}
@@ -59,8 +59,8 @@
 	})
 }
 
-// All of the rate is given away, to whole processes and in equal parts.
-func TestPartsAreTheWholeRate(t *testing.T) {
+// The shares are equal and add up to the whole rate.
+func TestSharesAddUpToTheRate(t *testing.T) {
 	for name, c := range map[string]struct {
 		processes, users int
 		rate             float64
@@ -69,14 +69,14 @@
 		"fewer processes than rate": {4, 4, 9.9},
 		"more processes than rate":  {28, 2, 2.2},
 		"less than one a second":    {300, 1, 0.1},
-		"none taken":                {4, 1, 0},
+		"nothing accepted":          {4, 1, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(c.processes, c.rate)
 			users, sum := 0, 0.0
 			for n := range f.limits {
-				if part := f.part(n); part > 0 {
-					users, sum = users+1, sum+part
+				if share := f.share(n); share > 0 {
+					users, sum = users+1, sum+share
 				}
 			}
 			qt.Check(t, users, qt.Equals, c.users)
@@ -85,12 +85,12 @@
 	}
 }
 
-// A process that is lost leaves its part to another one.
-func TestPartOfALostProcessIsTakenOver(t *testing.T) {
+// Guards against a share that is lost with its process.
+func TestShareOfALostProcessIsTakenOver(t *testing.T) {
 	f := newFleet(28, 2.2)
 	var user int
 	for n := range f.limits {
-		if f.part(n) > 0 {
+		if f.share(n) > 0 {
 			user = n
 		}
 	}
@@ -102,9 +102,10 @@
 	qt.Check(t, math.Abs(sum-1) < 1e-9, qt.IsTrue, qt.Commentf("%f", sum))
 }
 
-// What an endpoint got before it named its rate counts as well: the first request waits.
-// One that nobody hears of any more is tried, and not by a burst.
-func TestLimitFromItsStartToItsLapse(t *testing.T) {
+// The first request waits for a token, since the requests that the endpoint got before it
+// reported its rate count as well. A rate that no response reports any more is probed, by
+// single requests.
+func TestLimitFromItsStartToItsProbes(t *testing.T) {
 	l := New(start, 2)
 	qt.Check(t, l.Allows(start, 1), qt.IsFalse)
 	qt.Check(t, l.Take(start.Add(400*time.Millisecond), 1), qt.IsFalse)
@@ -112,10 +113,10 @@
 	qt.Check(t, l.Take(start.Add(500*time.Millisecond), 1), qt.IsFalse)
 
 	l.Named(start.Add(time.Second), 0)
-	later := start.Add(time.Second + lapse)
+	later := start.Add(time.Second + probeInterval)
 	l.tokens = 0
 	qt.Check(t, l.Take(later.Add(-1), 1), qt.IsFalse)
 	qt.Check(t, l.Take(later, 0), qt.IsTrue)
-	qt.Check(t, l.Take(later.Add(lapse/2), 0), qt.IsFalse)
-	qt.Check(t, l.Take(later.Add(lapse), 0), qt.IsTrue)
+	qt.Check(t, l.Take(later.Add(probeInterval/2), 0), qt.IsFalse)
+	qt.Check(t, l.Take(later.Add(probeInterval), 0), qt.IsTrue)
 }
--- a/internal/decision/ratelimit/part.go
+++ b/internal/decision/ratelimit/part.go
@@ -6,18 +6,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Part returns the part of an endpoint's rate that a process has, from 0 to 1. The
-// fleet names all processes that are heard, itself included. The processes that use the
-// endpoint draw the highest numbers for it (rendezvous hashing), so that one that comes
-// or goes changes the parts of few.
+// Part returns a process's share of an endpoint's rate, from 0 to 1. The fleet holds the
+// identifiers of all live processes, itself included. The processes that use the endpoint
+// are those with the highest scores for it (rendezvous hashing), so that a process that
+// joins or leaves changes the shares of few.
 func Part(endpoint string, rate float64, self uint64, fleet []uint64) float64 {
 	users := min(max(1, int(rate)), len(fleet))
 	if users == len(fleet) {
 		return 1 / float64(max(1, users))
 	}
-	own, higher := draw(endpoint, self), 0
+	own, higher := score(endpoint, self), 0
 	for _, process := range fleet {
-		if process != self && draw(endpoint, process) > own {
+		if process != self && score(endpoint, process) > own {
 			higher++
 		}
 	}
@@ -27,6 +27,6 @@
 	return 1 / float64(users)
 }
 
-func draw(endpoint string, process uint64) uint64 {
+func score(endpoint string, process uint64) uint64 {
 	return xxhash.Sum64(binary.BigEndian.AppendUint64([]byte(endpoint), process))
 }
