--- a/internal/decision/ejection/ejector.go
+++ b/internal/decision/ejection/ejector.go
@@ -10,12 +10,13 @@
 )
 
 const (
-	// mostEjected is the part of the endpoints that may be away at once.
-	mostEjected = 0.2
-	// medianEvery bounds how often the latencies of all endpoints are sorted.
-	medianEvery = time.Second
-	// fewestPeers must have a latency for a median to mean anything.
-	fewestPeers = 3
+	// maxEjectedFraction is the fraction of the endpoints that may be ejected at once.
+	maxEjectedFraction = 0.2
+	// medianTTL bounds how often the latencies of all endpoints are sorted.
+	medianTTL = time.Second
+	// minPeers is the number of endpoints with a known latency below which there is no
+	// meaningful median.
+	minPeers = 3
 )
 
 // Ejector is a carawayspread.Ejector that compares endpoints with their peers.
@@ -24,7 +25,7 @@
 	known atomic.Pointer[map[carawayspread.EndpointID]*endpoint]
 
 	mu       sync.Mutex // guards ejections and the median
-	median   float64    // of the latencies in seconds; zero when unknown
+	median   float64    // of the latencies in seconds; zero if unknown
 	medianAt time.Time
 }
 
@@ -39,7 +40,7 @@
 	return e
 }
 
-// SetEndpoints replaces the endpoints and keeps what is known of the old ones.
+// SetEndpoints replaces the endpoints and keeps the state of those that remain.
 func (e *Ejector) SetEndpoints(ids []carawayspread.EndpointID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -54,29 +55,31 @@
 	e.known.Store(&next)
 }
 
-// Allowed reports whether the endpoint may get a request.
+// Allowed reports whether a request may be sent to the endpoint.
 func (e *Ejector) Allowed(id carawayspread.EndpointID) bool {
 	p, ok := (*e.known.Load())[id]
-	if !ok || !p.away() {
+	if !ok || !p.isEjected() {
 		return true
 	}
 	now := e.clock.Now()
-	return p.onTrial(now) && free(p.trial.Load(), now)
+	return p.probing(now) && noProbe(p.probe.Load(), now)
 }
 
-func free(trial int64, now time.Time) bool {
-	return trial == 0 || now.UnixNano()-trial > int64(trialTimeout)
+// noProbe reports whether no probe request is running. The probe is given by its start in
+// Unix nanoseconds; zero for none.
+func noProbe(probe int64, now time.Time) bool {
+	return probe == 0 || now.UnixNano()-probe > int64(probeTimeout)
 }
 
-// Sent takes the place of the trial request at an endpoint that is away.
+// Sent records that a request was sent. At an ejected endpoint it is the probe request.
 func (e *Ejector) Sent(id carawayspread.EndpointID) {
 	p, ok := (*e.known.Load())[id]
-	if ok && p.away() {
-		p.trial.Store(e.clock.Now().UnixNano())
+	if ok && p.isEjected() {
+		p.probe.Store(e.clock.Now().UnixNano())
 	}
 }
 
-// Observe takes the outcome of one attempt.
+// Observe records the outcome of one attempt.
 func (e *Ejector) Observe(id carawayspread.EndpointID, latency time.Duration, outcome carawayspread.Outcome) {
 	p, ok := (*e.known.Load())[id]
 	if !ok {
@@ -87,62 +90,62 @@
 	defer p.mu.Unlock()
 	switch {
 	case outcome == carawayspread.OutcomeRefused || outcome == carawayspread.OutcomeCancelled:
-		p.trial.Store(0)
-	case !p.away():
-		if p.learn(now, latency, outcome, e.medianLatency(now)) {
+		p.probe.Store(0)
+	case !p.isEjected():
+		if p.update(now, latency, outcome, e.medianLatency(now)) {
 			e.eject(p, now)
 		}
-	case p.onTrial(now):
-		e.judge(p, now, latency, outcome)
+	case p.probing(now):
+		e.observeProbe(p, now, latency, outcome)
 	}
 }
 
-// judge takes the outcome of a trial request. Outcomes of attempts that were
-// sent before the time away began come while it lasts and are not counted.
-func (e *Ejector) judge(p *endpoint, now time.Time, latency time.Duration, outcome carawayspread.Outcome) {
-	p.trial.Store(0)
+// observeProbe records the outcome of a probe request. Outcomes of attempts that were sent
+// before the ejection arrive during the ejection time and are not counted.
+func (e *Ejector) observeProbe(p *endpoint, now time.Time, latency time.Duration, outcome carawayspread.Outcome) {
+	p.probe.Store(0)
 	median := e.medianLatency(now)
 	slow := median > 0 && latency.Seconds() > slowFactor*median
 	if outcome != carawayspread.OutcomeServed || slow {
 		p.eject(now)
 		return
 	}
-	p.passed++
-	if p.passed >= trialSuccesses {
-		p.until.Store(0)
+	p.probesPassed++
+	if p.probesPassed >= probeSuccesses {
+		p.ejectedUntil.Store(0)
 	}
 }
 
-// eject sends the endpoint away unless too many are away. A fault of this
-// process makes all endpoints seem to fail; the bound leaves it the others.
+// eject ejects the endpoint unless too many are ejected. With a fault of this process all
+// endpoints seem to fail; the bound keeps the rest of them in use.
 func (e *Ejector) eject(p *endpoint, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	known := *e.known.Load()
-	away := 0
+	ejected := 0
 	for _, other := range known {
-		if other.away() {
-			away++
+		if other.isEjected() {
+			ejected++
 		}
 	}
-	if away < most(len(known)) {
+	if ejected < maxEjected(len(known)) {
 		p.eject(now)
 	}
 }
 
-func most(n int) int {
+func maxEjected(n int) int {
 	if n < 2 {
 		return 0
 	}
-	return max(1, int(mostEjected*float64(n)))
+	return max(1, int(maxEjectedFraction*float64(n)))
 }
 
-// medianLatency returns the median over the endpoints in use, at most
-// medianEvery old.
+// medianLatency returns the median over the endpoints that are not ejected, at most
+// medianTTL old.
 func (e *Ejector) medianLatency(now time.Time) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if now.Sub(e.medianAt) < medianEvery {
+	if now.Sub(e.medianAt) < medianTTL {
 		return e.median
 	}
 	e.medianAt = now
@@ -153,7 +156,7 @@
 			latencies = append(latencies, latency)
 		}
 	}
-	if len(latencies) >= fewestPeers {
+	if len(latencies) >= minPeers {
 		slices.Sort(latencies)
 		e.median = latencies[len(latencies)/2]
 	}
--- a/internal/decision/ejection/ejector_test.go
+++ b/internal/decision/ejection/ejector_test.go
@@ -11,10 +11,10 @@
 	"carawayspread"
 )
 
-// Callers lose no more than one connect to an instance that is gone.
-// Its endpoint cannot be reached while the list still names it: the first
-// attempt sends it away, and a trial that fails does so again for longer. When
-// a region is cut off, a fifth of all endpoints is away and the rest is tried on.
+// Guards against callers that lose more than one connect to an instance that is gone while
+// its endpoint is still listed: the first attempt ejects the endpoint, and a failed probe
+// ejects it again for longer. When a region is partitioned, a fifth of all endpoints is
+// ejected and the rest still gets requests.
 func TestUnreachableEndpointIsEjectedAtOnce(t *testing.T) {
 	const endpoints, region = 1300, 325
 	clock := clockwork.NewFakeClock()
@@ -24,25 +24,25 @@
 		ids[i] = carawayspread.EndpointID(fmt.Sprint("worker-", i))
 	}
 	e.SetEndpoints(ids)
-	lose := func(id carawayspread.EndpointID) { e.Observe(id, 0, carawayspread.OutcomeUnreachable) }
+	fail := func(id carawayspread.EndpointID) { e.Observe(id, 0, carawayspread.OutcomeUnreachable) }
 
-	lose(ids[0])
+	fail(ids[0])
 	qt.Check(t, e.Allowed(ids[0]), qt.IsFalse)
-	clock.Advance(firstTime + time.Second)
-	qt.Check(t, e.Allowed(ids[0]), qt.IsTrue, qt.Commentf("a trial"))
+	clock.Advance(minEjectionTime + time.Second)
+	qt.Check(t, e.Allowed(ids[0]), qt.IsTrue, qt.Commentf("a probe"))
 	e.Sent(ids[0])
-	lose(ids[0])
-	clock.Advance(firstTime + time.Second)
-	qt.Check(t, e.Allowed(ids[0]), qt.IsFalse, qt.Commentf("away for twice as long"))
+	fail(ids[0])
+	clock.Advance(minEjectionTime + time.Second)
+	qt.Check(t, e.Allowed(ids[0]), qt.IsFalse, qt.Commentf("ejected for twice as long"))
 
 	for _, id := range ids[:region] {
-		lose(id)
+		fail(id)
 	}
-	away := 0
+	ejected := 0
 	for _, id := range ids {
 		if !e.Allowed(id) {
-			away++
+			ejected++
 		}
 	}
-	qt.Check(t, away, qt.Equals, endpoints/5)
+	qt.Check(t, ejected, qt.Equals, endpoints/5)
 }
--- a/internal/decision/gradient/limiter.go
+++ b/internal/decision/gradient/limiter.go
@@ -11,36 +11,38 @@
 
 const (
 	defaultInitial = 8
-	// defaultMax is above what an engine batches; it bounds a wrong measurement.
+	// defaultMax is above the batch size of an engine; it bounds the effect of a wrong
+	// measurement.
 	defaultMax = 256
 	tolerance  = 3.0
-	// smoothing weighs one measurement, so that about ten settle the limit.
+	// smoothing is the weight of one measurement; the limit converges within about ten.
 	smoothing = 0.1
-	// steepest bounds what one measurement may take away.
-	steepest = 0.5
-	failed   = 0.9
-	// probe shrinks the limit when a window ends. Under a queue that lasts, the
-	// least latency of a window would hold the queue itself, and the limit
-	// would grow with it from window to window.
-	probe = 0.7
-	// window is how long the least latency holds at least.
+	// minGradient bounds how far one measurement shrinks the limit.
+	minGradient   = 0.5
+	failureFactor = 0.9
+	// windowFactor shrinks the limit when a window ends. Under a persistent queue, the
+	// minimum latency of a window would include the time in the queue, and the limit would
+	// grow with it from window to window.
+	windowFactor = 0.7
+	// window is the minimum time for which the minimum latency is kept.
 	window = time.Minute
 )
 
-// Limiter is a carawayspread.Limiter that follows measured latency.
+// Limiter is a carawayspread.Limiter that follows measured latency. It is safe for
+// concurrent use.
 type Limiter struct {
 	clock   carawayspread.Clock
 	max     float64
 	running atomic.Int64
-	places  atomic.Int64 // limit rounded down; at least 1
-
-	mu      sync.Mutex // guards what follows
-	limit   float64    // in [1, max]
-	latency float64    // smoothed, in seconds; zero before the first
-	least   float64    // of this window, in seconds; zero before the first
-	before  float64    // of the window before; zero when there was none
-	opened  time.Time  // start of this window
-	shrunk  time.Time  // last time that a failure counted
+	permits atomic.Int64 // limit rounded down; at least 1
+
+	mu             sync.Mutex // guards what follows
+	limit          float64    // in [1, max]
+	latency        float64    // smoothed, in seconds; zero before the first measurement
+	minLatency     float64    // of this window, in seconds; zero before the first measurement
+	prevMinLatency float64    // of the previous window, in seconds; zero if there was none
+	windowStart    time.Time
+	failedAt       time.Time // when a failure last shrank the limit
 }
 
 // Option sets an optional part of a Limiter.
@@ -53,9 +55,9 @@
 	return New(env)
 })
 
-// New returns a limiter with a small first limit.
+// New returns a limiter with a small initial limit.
 func New(env carawayspread.Environment, opts ...Option) *Limiter {
-	l := &Limiter{clock: env.Clock, max: defaultMax, limit: defaultInitial, opened: env.Clock.Now()}
+	l := &Limiter{clock: env.Clock, max: defaultMax, limit: defaultInitial, windowStart: env.Clock.Now()}
 	for _, opt := range opts {
 		opt(l)
 	}
@@ -63,11 +65,11 @@
 	return l
 }
 
-// Acquire takes a place.
+// Acquire takes a permit; false if none is left.
 func (l *Limiter) Acquire() bool {
 	for {
 		running := l.running.Load()
-		if running >= l.places.Load() {
+		if running >= l.permits.Load() {
 			return false
 		}
 		if l.running.CompareAndSwap(running, running+1) {
@@ -76,7 +78,7 @@
 	}
 }
 
-// Release returns a place and learns from the latency.
+// Release returns a permit and updates the limit with the latency and outcome.
 func (l *Limiter) Release(latency time.Duration, outcome carawayspread.Outcome) {
 	running := l.running.Add(-1) + 1
 	l.mu.Lock()
@@ -86,60 +88,61 @@
 		l.fail()
 	case carawayspread.OutcomeServed:
 		if latency > 0 {
-			l.learn(latency.Seconds(), float64(running))
+			l.measure(latency.Seconds(), float64(running))
 		}
 	}
 }
 
-// Limit returns the places that there are now.
-func (l *Limiter) Limit() int { return int(l.places.Load()) }
+// Limit returns the current number of permits.
+func (l *Limiter) Limit() int { return int(l.permits.Load()) }
 
 func (l *Limiter) fail() {
 	now := l.clock.Now()
-	if now.Sub(l.shrunk).Seconds() <= l.latency {
+	if now.Sub(l.failedAt).Seconds() <= l.latency {
 		return
 	}
-	l.shrunk = now
-	l.set(l.limit * failed)
+	l.failedAt = now
+	l.set(l.limit * failureFactor)
 }
 
-func (l *Limiter) learn(latency, running float64) {
-	l.turn()
+func (l *Limiter) measure(latency, running float64) {
+	l.rotateWindow()
 	if l.latency == 0 {
 		l.latency = latency
 	}
 	l.latency += smoothing * (latency - l.latency)
-	if l.least == 0 || latency < l.least {
-		l.least = latency
+	if l.minLatency == 0 || latency < l.minLatency {
+		l.minLatency = latency
 	}
-	gradient := min(1, max(steepest, tolerance*l.floor()/l.latency))
+	gradient := min(1, max(minGradient, tolerance*l.baseline()/l.latency))
 	next := l.limit * gradient
 	if running >= l.limit/2 {
 		next += math.Sqrt(l.limit)
 	} else if gradient == 1 {
-		return // a limit that is not used proves nothing about a larger one
+		return // an unused limit is no evidence that a larger one would do
 	}
 	l.set(l.limit + smoothing*(next-l.limit))
 }
 
-// turn starts a new window of the least latency.
-func (l *Limiter) turn() {
+// rotateWindow starts a new window of the minimum latency once the current one is over.
+func (l *Limiter) rotateWindow() {
 	now := l.clock.Now()
-	if now.Sub(l.opened) < window {
+	if now.Sub(l.windowStart) < window {
 		return
 	}
-	l.before, l.least, l.opened = l.least, 0, now
-	l.set(l.limit * probe)
+	l.prevMinLatency, l.minLatency, l.windowStart = l.minLatency, 0, now
+	l.set(l.limit * windowFactor)
 }
 
-func (l *Limiter) floor() float64 {
-	if l.before == 0 {
-		return l.least
+// baseline returns the minimum latency of this and the previous window, in seconds.
+func (l *Limiter) baseline() float64 {
+	if l.prevMinLatency == 0 {
+		return l.minLatency
 	}
-	return min(l.least, l.before)
+	return min(l.minLatency, l.prevMinLatency)
 }
 
 func (l *Limiter) set(limit float64) {
 	l.limit = min(max(limit, 1), l.max)
-	l.places.Store(int64(l.limit))
+	l.permits.Store(int64(l.limit))
 }
