--- a/internal/decision/fleetbudget/budget.go
+++ b/internal/decision/fleetbudget/budget.go
@@ -1,12 +1,10 @@
-// Package fleetbudget bounds, for all processes together, what is sent beyond
-// the first attempt of each request.
+// Package fleetbudget bounds the retries of all processes together.
 //
-// Load pattern: a part of the endpoints fails while callers repeat, and every
-// process sends its failed requests again. Without a common bound the others
-// get a multiple of the work and fail in turn. Processes do not ask each other
-// before a retry; each keeps to the ratio for the requests that it took itself
-// and to an equal part of what is allowed without any, so that the sum holds
-// whichever of them are lost.
+// When part of the endpoints fails, callers repeat their requests and every process retries
+// its failed attempts. Without a common bound the remaining endpoints get a multiple of the
+// load and fail in turn. Processes do not coordinate before a retry: each applies the ratio
+// to the requests that it accepted itself and adds an equal share of the slack, so that the
+// sum holds whichever processes are lost.
 package fleetbudget
 
 import (
@@ -17,24 +15,24 @@
 )
 
 const (
-	// used is the part of the allowance that is spent: requests that were
-	// counted here may not have reached their service when the others count.
-	used    = 0.8
-	buckets = 20 // of one window
+	// usedFraction is the fraction of the allowance that is spent: requests that are
+	// counted here may not have reached their service yet when they are counted there.
+	usedFraction = 0.8
+	buckets      = 20 // per window
 )
 
-// Terms are what operators allow.
+// Terms are the bounds that operators set.
 type Terms struct {
-	Ratio  float64       // retries for each request
-	Slack  float64       // retries in each window for all processes, whatever the requests
-	Window time.Duration // any span of this length counts
+	Ratio  float64       // retries per request
+	Slack  float64       // retries per window of all processes, regardless of requests
+	Window time.Duration // the bounds hold in every time span of this length
 }
 
-// Budget counts one service. It is safe for concurrent use.
+// Budget counts the requests and retries of one service. It is safe for concurrent use.
 type Budget struct {
-	clock carawayspread.Clock
-	terms Terms
-	share func() int // processes that share the slack; at least 1
+	clock     carawayspread.Clock
+	terms     Terms
+	processes func() int // processes that share the slack; at least 1
 
 	mu       sync.Mutex
 	last     int64 // number of the newest bucket
@@ -42,29 +40,29 @@
 	retries  [buckets + 1]int
 }
 
-// New returns a budget of which nothing is spent.
-func New(clock carawayspread.Clock, terms Terms, share func() int) *Budget {
-	return &Budget{clock: clock, terms: terms, share: share}
+// New returns an unspent budget.
+func New(clock carawayspread.Clock, terms Terms, processes func() int) *Budget {
+	return &Budget{clock: clock, terms: terms, processes: processes}
 }
 
 // Took counts a request.
 func (b *Budget) Took() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.requests[b.turn()]++
+	b.requests[b.advance()]++
 }
 
-// Allow spends one retry; false where none is left.
+// Allow spends one retry; false if none is left.
 func (b *Budget) Allow() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	i := b.turn()
+	i := b.advance()
 	requests, retries := 0, 0
 	for n := range b.requests {
 		requests += b.requests[n]
 		retries += b.retries[n]
 	}
-	allowed := used * (b.terms.Ratio*float64(requests) + b.terms.Slack/float64(max(1, b.share())))
+	allowed := usedFraction * (b.terms.Ratio*float64(requests) + b.terms.Slack/float64(max(1, b.processes())))
 	if float64(retries+1) > allowed {
 		return false
 	}
@@ -72,8 +70,8 @@
 	return true
 }
 
-// turn empties the buckets that have left the window and returns the newest.
-func (b *Budget) turn() int {
+// advance clears the buckets that have left the window and returns the index of the newest.
+func (b *Budget) advance() int {
 	now := b.clock.Now().UnixNano() / int64(max(1, b.terms.Window/buckets))
 	for n := max(b.last+1, now-buckets); n <= now; n++ {
 		b.requests[n%(buckets+1)], b.retries[n%(buckets+1)] = 0, 0
--- a/internal/decision/fleetbudget/budget_test.go
+++ b/internal/decision/fleetbudget/budget_test.go
@@ -11,10 +11,9 @@
 
 var terms = Terms{Ratio: 0.2, Slack: 54, Window: 10 * time.Second}
 
-// Endpoints never get more retries than all processes together may send,
-// whatever each of them sees.
-// In every span of the window's length, the retries of all are at most the
-// ratio of their requests and the slack once.
+// Guards against more retries than all processes together may send, however requests and
+// retries are spread over them: in every time span of the window's length, the retries of
+// all processes are at most the ratio of their requests plus the slack.
 func TestAllTogetherKeepToTheTerms(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := clockwork.NewFakeClock()
@@ -64,8 +63,8 @@
 	})
 }
 
-// A window that is over frees what was spent in it.
-func TestBudgetComesBack(t *testing.T) {
+// Guards against a budget that stays spent after the window is over.
+func TestBudgetIsRestored(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	b := New(clock, terms, func() int { return 1 })
 	spend := func() (n int) {
@@ -75,7 +74,7 @@
 		return n
 	}
 	first := spend()
-	qt.Check(t, first, qt.Equals, int(used*terms.Slack))
+	qt.Check(t, first, qt.Equals, int(usedFraction*terms.Slack))
 	qt.Check(t, spend(), qt.Equals, 0)
 	clock.Advance(2 * terms.Window)
 	qt.Check(t, spend(), qt.Equals, first)
--- a/internal/decision/retrybudget/budget.go
+++ b/internal/decision/retrybudget/budget.go
@@ -1,19 +1,17 @@
-// Package retrybudget bounds retries to a share of what succeeds.
+// Package retrybudget bounds retries to a fraction of the successful requests.
 //
-// Load pattern: part of the fleet fails, and every failed attempt is sent
-// again. Without a bound the endpoints that are left get the work of all twice
-// or more, fail in turn, and stay failed after the cause has gone.
+// When part of the fleet fails, every failed attempt is sent again. Without a bound the
+// remaining endpoints get the load of all endpoints twice or more, fail in turn, and keep
+// failing after the cause is gone.
 //
-// A tenth of a retry is earned with each success, so that retries add at most a
-// tenth to the load. One retry a second is earned by time, so that a process
-// with little traffic can retry at all. Twenty are kept, which covers the
-// requests that one crashed endpoint had running.
+// Each success credits a tenth of a retry, so that retries add at most a tenth to the load.
+// One retry per second is credited by time, also without requests, so that a process with
+// little traffic can retry at all. The balance is at most twenty retries, which covers the
+// requests that were running at one crashed endpoint.
 //
-// Hedging, a second attempt before the first has failed, is not built: it adds
-// load where decode already fills the fleet, and no measurement here shows
-// that it answers more requests in time.
-//
-// With nothing new, only time earns.
+// Hedging, a second attempt before the first has failed, is not implemented: it adds load
+// while decode already uses the whole fleet, and no measurement shows that it serves more
+// requests in time.
 package retrybudget
 
 import (
@@ -24,51 +22,51 @@
 )
 
 const (
-	// whole is one retry; amounts are in its thousandths.
-	whole      = 1000
-	perSuccess = whole / 10
-	perSecond  = whole
-	most       = 20 * whole
+	// unit is one retry; balances and credits are in thousandths of a retry.
+	unit       = 1000
+	perSuccess = unit / 10
+	perSecond  = unit
+	maxBalance = 20 * unit
 )
 
 // Budget is a carawayspread.RetryBudget. It is safe for concurrent use.
 type Budget struct {
-	clock carawayspread.Clock
-	left  atomic.Int64 // in [0, most], but for a moment while several spend
-	paid  atomic.Int64 // Unix nanoseconds up to which time has earned
+	clock    carawayspread.Clock
+	balance  atomic.Int64 // in [0, maxBalance], except briefly during concurrent updates
+	credited atomic.Int64 // Unix nanoseconds up to which time has been credited
 }
 
 // New returns a full budget.
 func New(clock carawayspread.Clock) *Budget {
 	b := &Budget{clock: clock}
-	b.left.Store(most)
-	b.paid.Store(clock.Now().UnixNano())
+	b.balance.Store(maxBalance)
+	b.credited.Store(clock.Now().UnixNano())
 	return b
 }
 
-// Succeeded earns a part of a retry.
-func (b *Budget) Succeeded() { b.earn(perSuccess) }
+// Succeeded credits a fraction of a retry.
+func (b *Budget) Succeeded() { b.credit(perSuccess) }
 
 // Allow spends one retry.
 func (b *Budget) Allow() bool {
-	b.earnTime()
-	if b.left.Add(-whole) >= 0 {
+	b.creditTime()
+	if b.balance.Add(-unit) >= 0 {
 		return true
 	}
-	b.left.Add(whole)
+	b.balance.Add(unit)
 	return false
 }
 
-func (b *Budget) earn(amount int64) {
-	if over := b.left.Add(amount) - most; over > 0 {
-		b.left.Add(-min(over, amount))
+func (b *Budget) credit(amount int64) {
+	if over := b.balance.Add(amount) - maxBalance; over > 0 {
+		b.balance.Add(-min(over, amount))
 	}
 }
 
-func (b *Budget) earnTime() {
-	now, paid := b.clock.Now().UnixNano(), b.paid.Load()
-	if now-paid < int64(time.Second) || !b.paid.CompareAndSwap(paid, now) {
+func (b *Budget) creditTime() {
+	now, credited := b.clock.Now().UnixNano(), b.credited.Load()
+	if now-credited < int64(time.Second) || !b.credited.CompareAndSwap(credited, now) {
 		return
 	}
-	b.earn(int64(time.Duration(now-paid).Seconds() * perSecond))
+	b.credit(int64(time.Duration(now-credited).Seconds() * perSecond))
 }
