--- a/internal/decision/readers/rota.go
+++ b/internal/decision/readers/rota.go
@@ -1,17 +1,17 @@
-// Package readers decides which processes read the platform's store for the
-// others, and when a process reads for itself.
+// Package readers elects the process of each availability zone that reads the platform's
+// store for the others, and decides when a process reads for itself.
 //
-// Load pattern: hundreds of processes follow the same few rows. Without it each
-// of them asks the store several times a second, so that calls grow with the
-// fleet, while what they bring is the same.
+// Hundreds of processes follow the same few rows. Without the election each of them would
+// query the store several times a second: calls would grow with the fleet, while all of
+// them return the same.
 //
-// In each availability zone one process reads: the one of the largest instance
-// among those that are heard and that the store answers. All draw it alike from
-// what they hear; no message and no lease settles it. Readers of several zones take
-// turns: what one has read is confirmed for the others as it says so. The rest learns
-// from them, and from anyone who has learnt, how fresh the store confirmed what they
-// hold. A wrong or old view of who reads costs calls and nothing else: whoever has
-// heard of no confirmation for too long reads for itself.
+// The reader of a zone is the process of the largest instance among those whose heartbeats
+// arrive and whose calls the store answers. All processes compute it from the heartbeats
+// that they receive, without votes or a lease. Readers of different zones share the calls:
+// what one has read and announced counts as confirmed for the others. The other processes
+// learn by gossip, from the readers and from each other, when the store last confirmed what
+// they hold. A wrong or outdated view of the reader costs calls to the store and nothing
+// else: a process that has learnt of no confirmation for too long reads for itself.
 package readers
 
 import (
@@ -23,62 +23,62 @@
 )
 
 const (
-	// heardFor is how long a silent peer counts: three of its heartbeats, so that
-	// two lost ones do not move who reads, and less than what may pass until a
-	// change must be in force.
-	heardFor = 1500 * time.Millisecond
-	// failedFor is how long a process that the store did not answer leaves reading
-	// to others. Where all others fail as well, each goes on by itself.
-	failedFor = 5 * time.Second
-	// everyPart and boundPart are parts of the time in which a leaving endpoint
-	// must be known to all: a reader reads four times in it, which leaves room for
-	// a slow answer and a lost one, and nobody goes on for longer than half of it
-	// without a confirmation, which leaves half for its own call.
-	everyPart = 0.25
-	boundPart = 0.5
-	// watchPart and watchBoundPart are the same for routes, of which a reader is
-	// told as they change: the bound on one wait finds a connection that has fallen
-	// silent.
-	watchPart      = 0.5
-	watchBoundPart = 0.75
-	// spreadPart spreads the calls of processes whose reader died: they learnt from
-	// the same message, and would call at the same moment.
-	spreadPart = 0.25
-	// everySpread and retrySpread are what pauses differ by, in parts of their mean:
-	// processes that started together do not call together for ever.
-	everySpread = 0.2
-	retrySpread = 0.4
-	// retryLeast, retryMost and retryEach space calls after a failed one, with the number
-	// of processes of the zone: a store that comes back is noticed by one of them within a
-	// quarter of a second, at four calls a second, and a zone of more than ten makes up to
-	// ten.
-	retryLeast = 250 * time.Millisecond
-	retryMost  = 10 * retryLeast
-	retryEach  = 100 * time.Millisecond
+	// peerTimeout is how long after its last heartbeat a peer counts as live: three
+	// heartbeat intervals, so that two lost heartbeats do not change the reader, and less
+	// than the time in which a change must be in force.
+	peerTimeout = 1500 * time.Millisecond
+	// failureCooldown is how long a process whose call the store did not answer leaves
+	// reading to others. If all others fail as well, each continues by itself.
+	failureCooldown = 5 * time.Second
+	// pollFraction and maxAgeFraction are fractions of the time in which all processes must
+	// know that an endpoint is leaving: a reader reads four times in it, which leaves room
+	// for a slow response and a lost one, and no process continues without a confirmation
+	// for longer than half of it, which leaves the other half for its own call.
+	pollFraction   = 0.25
+	maxAgeFraction = 0.5
+	// watchFraction and watchMaxAgeFraction are the same for routes, which a reader watches
+	// for changes: the timeout of one watch detects a connection that is silently lost.
+	watchFraction       = 0.5
+	watchMaxAgeFraction = 0.75
+	// takeoverJitter spreads the calls of processes whose reader died: they got its last
+	// confirmation in the same message and would otherwise call at the same moment.
+	takeoverJitter = 0.25
+	// pollJitter and retryJitter are the widths of the jitter of intervals, as fractions of
+	// their mean, so that processes that started together do not keep calling together.
+	pollJitter  = 0.2
+	retryJitter = 0.4
+	// minRetryInterval, maxRetryInterval and retryPerProcess space the calls after a failed
+	// one by the number of processes of the zone: one of them detects the recovery of the
+	// store within a quarter of a second, at four calls per second, and a zone of more than
+	// ten processes makes up to ten calls per second.
+	minRetryInterval = 250 * time.Millisecond
+	maxRetryInterval = 10 * minRetryInterval
+	retryPerProcess  = 100 * time.Millisecond
 )
 
-// Terms are what operators are promised.
+// Terms are the bounds that operators are guaranteed.
 type Terms struct {
-	Leaving time.Duration // in which nothing more is sent to a leaving endpoint
-	InForce time.Duration // in which a configuration is in force everywhere
+	Leaving time.Duration // after which nothing more is sent to a leaving endpoint
+	InForce time.Duration // after which a configuration is in force in all processes
 }
 
-// member is a process of the own zone.
+// member is another process of this zone.
 type member struct {
 	capacity uint32
-	reads    bool
-	heard    time.Time
+	canRead  bool
+	lastSeen time.Time // of its last heartbeat
 }
 
 // matter is how this process stands with one matter.
 type matter struct {
-	confirmed time.Time // as of when the store is known to have confirmed it; zero for never
-	called    time.Time // when the last own call began
-	failed    bool      // and it failed
-	luck      float64   // from 0 to 1, drawn anew with each call
+	confirmed time.Time // when the store last confirmed it, as far as is known; zero for never
+	called    time.Time // start of this process's last call, or its end if it failed
+	failed    bool      // whether that call failed
+	random    float64   // in [0, 1), for the jitter; drawn with each call
 }
 
-// Rota is one process's view. It is safe for concurrent use.
+// Rota is one process's view of the election and of the age of its data. It is safe for
+// concurrent use.
 type Rota struct {
 	id       uint64
 	zone     string
@@ -86,37 +86,38 @@
 	terms    Terms
 	clock    carawayspread.Clock
 
-	mu      sync.Mutex
-	members map[uint64]member
-	matters [carawayspread.Matters]matter
-	failed  time.Time // of the last call that failed with none answered since; zero for none
-	retired bool
+	mu       sync.Mutex
+	members  map[uint64]member
+	matters  [carawayspread.Matters]matter
+	failed   time.Time // of the last failed call; zero if none failed since the last answered one
+	resigned bool
 }
 
-// New returns the view of the process with that identifier, which is drawn at
-// its start.
+// New returns the view of the process with that identifier, which is drawn at random at its
+// start.
 func New(id uint64, zone string, capacity uint32, terms Terms, clock carawayspread.Clock) *Rota {
 	return &Rota{id: id, zone: zone, capacity: capacity, terms: terms, clock: clock, members: map[uint64]member{}}
 }
 
-// Heard takes what a peer says of itself.
+// Heard records the heartbeat of a peer. Those of other zones are ignored.
 func (r *Rota) Heard(id uint64, s carawayspread.Presence) {
 	if s.Zone != r.zone || id == r.id {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.members[id] = member{capacity: s.Capacity, reads: s.Reads, heard: r.clock.Now()}
+	r.members[id] = member{capacity: s.Capacity, canRead: s.Reads, lastSeen: r.clock.Now()}
 }
 
-// Retire leaves reading to others, as this process ends.
+// Retire leaves reading to others permanently, for a process that is shutting down.
 func (r *Rota) Retire() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.retired = true
+	r.resigned = true
 }
 
-// Able reports whether the store answers this process, as far as is known.
+// Able reports whether this process can read: it has not resigned, and the store answers it
+// as far as is known.
 func (r *Rota) Able() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -124,10 +125,10 @@
 }
 
 func (r *Rota) ableLocked(now time.Time) bool {
-	return !r.retired && (r.failed.IsZero() || now.Sub(r.failed) > failedFor)
+	return !r.resigned && (r.failed.IsZero() || now.Sub(r.failed) > failureCooldown)
 }
 
-// Reads reports whether this process reads for its zone.
+// Reads reports whether this process is the reader of its zone.
 func (r *Rota) Reads() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,18 +140,18 @@
 		return false
 	}
 	for id, m := range r.members {
-		if now.Sub(m.heard) > heardFor {
+		if now.Sub(m.lastSeen) > peerTimeout {
 			delete(r.members, id)
 			continue
 		}
-		if m.reads && (m.capacity > r.capacity || m.capacity == r.capacity && id < r.id) {
+		if m.canRead && (m.capacity > r.capacity || m.capacity == r.capacity && id < r.id) {
 			return false
 		}
 	}
 	return true
 }
 
-// Confirm takes note that the store confirmed what this process holds.
+// Confirm records that the store confirmed at that time what this process holds.
 func (r *Rota) Confirm(of carawayspread.Matter, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -164,14 +165,14 @@
 	}
 }
 
-// Called takes note of an own call that began then and that the store answered
-// or, with an error, did not. What the answer says holds as of the time given.
+// Called records a call of this process to the store, which began at begun. Without an error
+// its response confirms what this process holds as of asOf.
 func (r *Rota) Called(of carawayspread.Matter, begun, asOf time.Time, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := &r.matters[of]
 	m.called, m.failed = begun, err != nil
-	m.luck = rand.Float64()
+	m.random = rand.Float64()
 	if err != nil {
 		r.failed = r.clock.Now()
 		m.called = r.failed
@@ -181,8 +182,7 @@
 	r.confirmLocked(of, asOf)
 }
 
-// Age returns for how long the store has not confirmed the matter; false where it
-// never has.
+// Age returns the time since the store last confirmed the matter; false if it never has.
 func (r *Rota) Age(of carawayspread.Matter) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -193,49 +193,51 @@
 // Stale reports whether the matter was confirmed too long ago, or never.
 func (r *Rota) Stale(of carawayspread.Matter) bool {
 	age, ever := r.Age(of)
-	return !ever || age > r.bound(of)
+	return !ever || age > r.maxAge(of)
 }
 
-// Due returns in what time this process is to call the store by itself.
+// Due returns the time until this process is to call the store by itself; zero for now.
 func (r *Rota) Due(of carawayspread.Matter) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
 	m := r.matters[of]
-	due := m.confirmed.Add(part(1-spreadPart*m.luck, r.bound(of)))
+	due := m.confirmed.Add(scale(1-takeoverJitter*m.random, r.maxAge(of)))
 	if r.readsLocked(now) {
-		due = later(m.called, m.confirmed).Add(part(1+everySpread*(m.luck-0.5), r.every(of)))
+		due = later(m.called, m.confirmed).Add(scale(1+pollJitter*(m.random-0.5), r.pollInterval(of)))
 	}
 	if m.failed {
-		if again := m.called.Add(part(1+retrySpread*(m.luck-0.5), r.retryLocked())); again.After(due) {
+		if again := m.called.Add(scale(1+retryJitter*(m.random-0.5), r.retryIntervalLocked())); again.After(due) {
 			due = again
 		}
 	}
 	return max(0, due.Sub(now))
 }
 
-// Wait returns how long a reader's call for changes of routes may wait.
-func (r *Rota) Wait() time.Duration { return part(watchPart, r.terms.InForce) }
+// Wait returns the timeout of a reader's watch for changes of routes.
+func (r *Rota) Wait() time.Duration { return scale(watchFraction, r.terms.InForce) }
 
-func (r *Rota) retryLocked() time.Duration {
+func (r *Rota) retryIntervalLocked() time.Duration {
 	n := time.Duration(len(r.members) + 1)
-	return max(n*retryEach, min(n*retryLeast, retryMost))
+	return max(n*retryPerProcess, min(n*minRetryInterval, maxRetryInterval))
 }
 
-// every returns the time between a reader's calls; routes are watched without a
-// pause.
-func (r *Rota) every(of carawayspread.Matter) time.Duration {
+// pollInterval returns the mean time between a reader's calls; zero for routes, which are
+// watched continuously.
+func (r *Rota) pollInterval(of carawayspread.Matter) time.Duration {
 	if of == carawayspread.MatterRoutes {
 		return 0
 	}
-	return part(everyPart, r.terms.Leaving)
+	return scale(pollFraction, r.terms.Leaving)
 }
 
-func (r *Rota) bound(of carawayspread.Matter) time.Duration {
+// maxAge returns the age beyond which the matter is stale; a process that is not the reader
+// reads by itself before that.
+func (r *Rota) maxAge(of carawayspread.Matter) time.Duration {
 	if of == carawayspread.MatterRoutes {
-		return part(watchBoundPart, r.terms.InForce)
+		return scale(watchMaxAgeFraction, r.terms.InForce)
 	}
-	return part(boundPart, r.terms.Leaving)
+	return scale(maxAgeFraction, r.terms.Leaving)
 }
 
 func later(a, b time.Time) time.Time {
@@ -245,4 +247,4 @@
 	return a
 }
 
-func part(of float64, d time.Duration) time.Duration { return time.Duration(of * float64(d)) }
+func scale(factor float64, d time.Duration) time.Duration { return time.Duration(factor * float64(d)) }
--- a/internal/decision/readers/rota_test.go
+++ b/internal/decision/readers/rota_test.go
@@ -13,24 +13,24 @@
 
 var terms = Terms{Leaving: 4 * time.Second, InForce: 4 * time.Second}
 
-// One process of a zone reads: the largest of those that are heard and that the store
-// answers; of two alike the one that drew the smaller number.
-func TestWhoReads(t *testing.T) {
+// The reader of a zone is the process with the largest capacity among those that are live and
+// that the store answers; with equal capacities the one with the smaller identifier.
+func TestReaderOfAZone(t *testing.T) {
 	for name, c := range map[string]struct {
 		peer  carawayspread.Presence
 		id    uint64
-		after time.Duration // since the peer was heard
+		after time.Duration // since the peer's heartbeat
 		reads bool
 	}{
-		"alone":                    {reads: true, after: time.Hour},
-		"smaller beside it":        {peer: carawayspread.Presence{Zone: "z", Capacity: 4, Reads: true}, reads: true},
-		"larger beside it":         {peer: carawayspread.Presence{Zone: "z", Capacity: 6, Reads: true}},
-		"larger, not answered":     {peer: carawayspread.Presence{Zone: "z", Capacity: 6}, reads: true},
-		"larger, in another zone":  {peer: carawayspread.Presence{Zone: "y", Capacity: 6, Reads: true}, reads: true},
-		"larger, silent":           {peer: carawayspread.Presence{Zone: "z", Capacity: 6, Reads: true}, after: 2 * time.Second, reads: true},
-		"alike, drew less":         {peer: carawayspread.Presence{Zone: "z", Capacity: 5, Reads: true}, id: 6},
-		"alike, drew more":         {peer: carawayspread.Presence{Zone: "z", Capacity: 5, Reads: true}, id: 8, reads: true},
-		"its own message, doubled": {peer: carawayspread.Presence{Zone: "z", Capacity: 9, Reads: true}, id: 7, reads: true},
+		"alone":                   {reads: true, after: time.Hour},
+		"smaller peer":            {peer: carawayspread.Presence{Zone: "z", Capacity: 4, Reads: true}, reads: true},
+		"larger peer":             {peer: carawayspread.Presence{Zone: "z", Capacity: 6, Reads: true}},
+		"larger, not answered":    {peer: carawayspread.Presence{Zone: "z", Capacity: 6}, reads: true},
+		"larger, in another zone": {peer: carawayspread.Presence{Zone: "y", Capacity: 6, Reads: true}, reads: true},
+		"larger, timed out":       {peer: carawayspread.Presence{Zone: "z", Capacity: 6, Reads: true}, after: 2 * time.Second, reads: true},
+		"equal, smaller id":       {peer: carawayspread.Presence{Zone: "z", Capacity: 5, Reads: true}, id: 6},
+		"equal, larger id":        {peer: carawayspread.Presence{Zone: "z", Capacity: 5, Reads: true}, id: 8, reads: true},
+		"own message, duplicated": {peer: carawayspread.Presence{Zone: "z", Capacity: 9, Reads: true}, id: 7, reads: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
@@ -42,25 +42,25 @@
 	}
 }
 
-// When a process calls the store by itself: a reader before the list is a quarter of
-// the promised time old, another when nothing has confirmed it for half of it, and
-// one that was not answered after a pause.
-func TestWhenToCall(t *testing.T) {
+// A reader calls the store when its list is a quarter of the guaranteed time old, another
+// process before its list has gone unconfirmed for half of that time, and a process whose
+// call was not answered after the retry interval.
+func TestTimeOfTheNextCall(t *testing.T) {
 	larger := carawayspread.Presence{Zone: "z", Capacity: 6, Reads: true}
 	for name, c := range map[string]struct {
-		beside      bool
+		otherReader bool
 		err         error
 		least, most time.Duration
 	}{
 		"reader":               {least: 900 * time.Millisecond, most: 1100 * time.Millisecond},
-		"not the reader":       {beside: true, least: 1500 * time.Millisecond, most: 2 * time.Second},
+		"not the reader":       {otherReader: true, least: 1500 * time.Millisecond, most: 2 * time.Second},
 		"reader, not answered": {err: errors.New("no answer"), least: 200 * time.Millisecond, most: 300 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
 			r := New(7, "z", 5, terms, clock)
 			qt.Check(t, r.Due(carawayspread.MatterList), qt.Equals, time.Duration(0))
-			if c.beside {
+			if c.otherReader {
 				r.Heard(1, larger)
 			}
 			r.Called(carawayspread.MatterList, clock.Now(), clock.Now(), c.err)
--- a/internal/decision/truetime/truetime.go
+++ b/internal/decision/truetime/truetime.go
@@ -1,8 +1,8 @@
-// Package truetime agrees on the time of day with peers whose clocks differ.
+// Package truetime synchronizes the time of day among peers whose wall clocks differ.
 //
-// Load pattern: the time of day of some machines jumps by seconds, and back. All
-// processes relate their own to the steady clock of the platform's store; the median
-// of what they find does not follow a minority that jumps.
+// The wall clocks of some instances jump by seconds, and back. Each process measures the
+// offset between its wall clock and the monotonic clock of the platform's store; the median
+// of these offsets does not follow a minority that jumps.
 package truetime
 
 import (
@@ -13,47 +13,48 @@
 	"carawayspread"
 )
 
-// heardFor is how long a silent peer's statement counts.
-const heardFor = 5 * time.Second
+// offsetTTL is how long the offset of a peer counts without being reported again.
+const offsetTTL = 5 * time.Second
 
-type statement struct {
+// report is the epoch that a peer reported, and when it arrived.
+type report struct {
 	epoch time.Duration
 	at    time.Time
 }
 
-// Clock is one process's view. It is safe for concurrent use.
+// Clock is one process's view of the synchronized time. It is safe for concurrent use.
 type Clock struct {
 	clock carawayspread.Clock
-	store func() (time.Duration, bool) // what the store's clock shows
+	store func() (time.Duration, bool) // time of the store's monotonic clock; false if not known
 
 	mu    sync.Mutex
-	peers map[uint64]statement
+	peers map[uint64]report
 }
 
-// New returns a clock on the time of day of clock and on the store's steady clock.
+// New returns a clock that uses the wall clock of clock and the store's monotonic clock.
 func New(clock carawayspread.Clock, store func() (time.Duration, bool)) *Clock {
-	return &Clock{clock: clock, store: store, peers: map[uint64]statement{}}
+	return &Clock{clock: clock, store: store, peers: map[uint64]report{}}
 }
 
-// Epoch returns the time from the start of 1970, by this process alone, to the
-// moment at which the store's clock showed zero; false where it cannot be said.
+// Epoch returns the time from the start of 1970 to the zero of the store's clock, by this
+// process's wall clock alone; false if the store's clock is not known.
 func (c *Clock) Epoch() (time.Duration, bool) {
 	store, known := c.store()
 	return time.Duration(c.clock.Now().UnixNano()) - store, known
 }
 
-// Heard takes the epoch of a peer; zero for none.
+// Heard records the epoch that a peer reports; zero, for none, is ignored.
 func (c *Clock) Heard(peer uint64, epoch time.Duration) {
 	if epoch == 0 {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.peers[peer] = statement{epoch: epoch, at: c.clock.Now()}
+	c.peers[peer] = report{epoch: epoch, at: c.clock.Now()}
 }
 
-// Now returns the agreed time since the start of 1970; false where the store's clock
-// is not known.
+// Now returns the synchronized time since the start of 1970; false if the store's clock is
+// not known.
 func (c *Clock) Now() (time.Duration, bool) {
 	own, known := c.Epoch()
 	if !known {
@@ -63,13 +64,14 @@
 	return store + c.median(own), true
 }
 
+// median returns the median of the own epoch and those of the peers, and drops expired ones.
 func (c *Clock) median(own time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.clock.Now()
 	epochs := []time.Duration{own}
 	for peer, s := range c.peers {
-		if now.Sub(s.at) > heardFor {
+		if now.Sub(s.at) > offsetTTL {
 			delete(c.peers, peer)
 			continue
 		}
