--- a/internal/decision/usage/ledger.go
+++ b/internal/decision/usage/ledger.go
@@ -1,10 +1,10 @@
-// Package usage adds up, over processes that come and go, how many requests of each
-// workspace began to run in each window of time.
+// Package usage sums, over processes that join and leave, how many requests of each
+// workspace began to run in each time window.
 //
-// Load pattern: hundreds of processes count, some are killed in the middle of a window,
-// messages are lost, repeated and late. Each process states cumulative figures under an
-// identifier that it draws at its start; the larger of two statements is the newer, so
-// that merging them in any order, any number of times, gives the same sums.
+// Hundreds of processes count; some are killed in the middle of a window, and messages are
+// lost, duplicated and late. Each process publishes cumulative counts under an identifier
+// that it draws at random at its start, and of two counts the larger is the newer. Merging
+// them in any order, any number of times, gives the same sums (a grow-only counter, a CRDT).
 package usage
 
 import (
@@ -15,14 +15,14 @@
 	"carawayspread"
 )
 
-// share is what one process counted in one window.
-type share struct {
+// processCounts holds the counts of one process in one window.
+type processCounts struct {
 	counts map[carawayspread.WorkspaceID]uint64
 	closed bool
-	total  uint64 // of all counts; meaningless unless closed
+	total  uint64 // sum of all counts of the process; valid only if closed
 }
 
-func (s *share) sum() uint64 {
+func (s *processCounts) sum() uint64 {
 	var sum uint64
 	for _, n := range s.counts {
 		sum += n
@@ -30,30 +30,30 @@
 	return sum
 }
 
-// whole reports whether all that the process counted is here.
-func (s *share) whole() bool { return s.closed && s.sum() >= s.total }
+// complete reports whether all counts of the process have arrived.
+func (s *processCounts) complete() bool { return s.closed && s.sum() >= s.total }
 
-// Ledger holds what this process counted and what others stated. It is safe for
+// Ledger holds the counts of this process and those published by others. It is safe for
 // concurrent use.
 type Ledger struct {
 	own uint64
 
 	mu      sync.Mutex
-	windows map[int64]map[uint64]*share // by window and process
+	windows map[int64]map[uint64]*processCounts // by window and process
 	changed map[int64]map[carawayspread.WorkspaceID]bool
 	names   map[carawayspread.WorkspaceID]string
-	oldest  int64 // windows before it are forgotten
+	oldest  int64 // windows before it are dropped
 }
 
-// New returns a ledger for the process that drew that identifier.
+// New returns a ledger for the process with that identifier.
 func New(own uint64) *Ledger {
 	return &Ledger{
-		own: own, windows: map[int64]map[uint64]*share{},
+		own: own, windows: map[int64]map[uint64]*processCounts{},
 		changed: map[int64]map[carawayspread.WorkspaceID]bool{}, names: map[carawayspread.WorkspaceID]string{},
 	}
 }
 
-// Name makes the names of workspaces known, for sums.
+// Name adds names of workspaces, which sums are keyed by.
 func (l *Ledger) Name(names map[string]bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,8 +62,8 @@
 	}
 }
 
-// Count counts a request that began to run here. It reports whether the window was
-// still kept.
+// Count counts a request that began to run in this process. It returns false, and counts
+// nothing, if the window was already dropped.
 func (l *Ledger) Count(window int64, workspace string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,7 +72,7 @@
 	}
 	id := carawayspread.IDOfWorkspace(workspace)
 	l.names[id] = workspace
-	s := l.share(window, l.own)
+	s := l.countsOf(window, l.own)
 	s.counts[id]++
 	if s.closed {
 		s.total++
@@ -84,51 +84,52 @@
 	return true
 }
 
-// Close ends the own count of a window.
+// Close closes this process's count of a window.
 func (l *Ledger) Close(window int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if window < l.oldest {
 		return
 	}
-	if s := l.share(window, l.own); !s.closed {
+	if s := l.countsOf(window, l.own); !s.closed {
 		s.closed, s.total = true, s.sum()
 	}
 }
 
-// share is called with mu held.
-func (l *Ledger) share(window int64, process uint64) *share {
-	of := l.windows[window]
-	if of == nil {
-		of = map[uint64]*share{}
-		l.windows[window] = of
+// countsOf returns the counts of a process in a window and creates them if needed. It is
+// called with mu held.
+func (l *Ledger) countsOf(window int64, process uint64) *processCounts {
+	byProcess := l.windows[window]
+	if byProcess == nil {
+		byProcess = map[uint64]*processCounts{}
+		l.windows[window] = byProcess
 	}
-	if of[process] == nil {
-		of[process] = &share{counts: map[carawayspread.WorkspaceID]uint64{}}
+	if byProcess[process] == nil {
+		byProcess[process] = &processCounts{counts: map[carawayspread.WorkspaceID]uint64{}}
 	}
-	return of[process]
+	return byProcess[process]
 }
 
-// Changes returns what this process counted in a window since the last call, as
-// cumulative figures.
+// Changes returns those cumulative counts of this process in a window that have changed
+// since the last call.
 func (l *Ledger) Changes(window int64) carawayspread.UsageStatement {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	statement := carawayspread.UsageStatement{Process: l.own, Window: window}
 	for id := range l.changed[window] {
 		statement.Counts = append(statement.Counts, carawayspread.UsageCount{
-			Workspace: id, Requests: l.share(window, l.own).counts[id],
+			Workspace: id, Requests: l.countsOf(window, l.own).counts[id],
 		})
 	}
 	delete(l.changed, window)
 	return statement
 }
 
-// Own returns all that this process counted in a window.
+// Own returns all counts of this process in a window.
 func (l *Ledger) Own(window int64) carawayspread.UsageStatement {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.share(window, l.own)
+	s := l.countsOf(window, l.own)
 	statement := carawayspread.UsageStatement{Process: l.own, Window: window, Closed: s.closed, Total: s.total}
 	for id, n := range s.counts {
 		statement.Counts = append(statement.Counts, carawayspread.UsageCount{Workspace: id, Requests: n})
@@ -136,44 +137,45 @@
 	return statement
 }
 
-// Merge takes what a process states, and reports whether all that it counted in a
-// closed window is here now.
+// Merge adds the counts that a process published, and reports whether the process has closed
+// the window and all its counts have arrived. It ignores
+// windows already dropped and statements of this process, and returns true for them.
 func (l *Ledger) Merge(statement carawayspread.UsageStatement) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if statement.Window < l.oldest || statement.Process == l.own {
 		return true
 	}
-	s := l.share(statement.Window, statement.Process)
+	s := l.countsOf(statement.Window, statement.Process)
 	for _, c := range statement.Counts {
 		s.counts[c.Workspace] = max(s.counts[c.Workspace], c.Requests)
 	}
 	if statement.Closed {
 		s.closed, s.total = true, max(s.total, statement.Total)
 	}
-	return s.whole()
+	return s.complete()
 }
 
-// Known reports whether any process has stated anything of the window.
+// Known reports whether there are counts of any process for the window.
 func (l *Ledger) Known(window int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.windows[window]) > 0
 }
 
-// Complete reports whether all that these processes and this one counted in the window
-// is here.
+// Complete reports whether these processes and this one have closed the window and all their
+// counts have arrived.
 func (l *Ledger) Complete(window int64, processes []uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	of := l.windows[window]
+	byProcess := l.windows[window]
 	return !slices.ContainsFunc(append(processes, l.own), func(process uint64) bool {
-		return of[process] == nil || !of[process].whole()
+		return byProcess[process] == nil || !byProcess[process].complete()
 	})
 }
 
-// Sum returns the requests of each workspace in the window, and how many of them belong
-// to workspaces whose names are not known.
+// Sum returns the requests of each workspace in the window, and apart from these the number
+// of requests of workspaces whose names are not known.
 func (l *Ledger) Sum(window int64) (counts map[string]uint64, unnamed uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -190,8 +192,8 @@
 	return counts, unnamed
 }
 
-// Forget drops windows before that one, and names that no kept window needs and that
-// are not among those in force.
+// Forget drops the windows before that one, and the names that no remaining window needs and
+// that are not in force.
 func (l *Ledger) Forget(before int64, inForce map[string]bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -199,12 +201,12 @@
 		return
 	}
 	l.oldest = before
-	old := func(window int64) bool { return window < before }
-	maps.DeleteFunc(l.windows, func(window int64, _ map[uint64]*share) bool { return old(window) })
-	maps.DeleteFunc(l.changed, func(window int64, _ map[carawayspread.WorkspaceID]bool) bool { return old(window) })
+	dropped := func(window int64) bool { return window < before }
+	maps.DeleteFunc(l.windows, func(window int64, _ map[uint64]*processCounts) bool { return dropped(window) })
+	maps.DeleteFunc(l.changed, func(window int64, _ map[carawayspread.WorkspaceID]bool) bool { return dropped(window) })
 	needed := map[carawayspread.WorkspaceID]bool{}
-	for _, of := range l.windows {
-		for _, s := range of {
+	for _, byProcess := range l.windows {
+		for _, s := range byProcess {
 			for id := range s.counts {
 				needed[id] = true
 			}
--- a/internal/decision/usage/ledger_test.go
+++ b/internal/decision/usage/ledger_test.go
@@ -12,19 +12,20 @@
 
 const window = 7
 
-// Guards against requests that are counted twice or not at all: statements of processes
-// that come and go arrive in any order, late, repeated, or not, until the last ones.
+// Guards against requests that are counted twice or not at all when the statements of
+// processes that join and leave arrive reordered, late, repeatedly, or not until the last
+// ones.
 func TestSumsAreExactWhateverTheOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		collector := New(0)
-		truth := map[string]uint64{}
+		want := map[string]uint64{}
 		var sent []carawayspread.UsageStatement
 		for process := range uint64(rapid.IntRange(1, 4).Draw(t, "processes")) {
 			l := New(process + 1)
 			for range rapid.IntRange(0, 20).Draw(t, "steps") {
 				name := fmt.Sprint("w", rapid.IntRange(0, 3).Draw(t, "workspace"))
 				l.Count(window, name)
-				truth[name]++
+				want[name]++
 				if rapid.Bool().Draw(t, "states") {
 					sent = append(sent, l.Changes(window))
 				}
@@ -40,19 +41,19 @@
 		}
 		collector.Name(map[string]bool{"w0": true, "w1": true, "w2": true, "w3": true})
 		counts, unnamed := collector.Sum(window)
-		if unnamed > 0 || fmt.Sprint(counts) != fmt.Sprint(truth) {
-			t.Fatalf("%v, %d unnamed, want %v", counts, unnamed, truth)
+		if unnamed > 0 || fmt.Sprint(counts) != fmt.Sprint(want) {
+			t.Fatalf("%v, %d unnamed, want %v", counts, unnamed, want)
 		}
 	})
 }
 
-// Guards against a report that is decided before all counts are there.
+// Guards against a report that is decided before all counts have arrived.
 func TestCompleteNeedsEveryStatement(t *testing.T) {
 	first, second := New(1), New(2)
 	first.Count(window, "a")
 	first.Count(window, "b")
 	second.Close(window)
-	qt.Check(t, second.Complete(window, []uint64{1}), qt.IsFalse, qt.Commentf("nothing stated"))
+	qt.Check(t, second.Complete(window, []uint64{1}), qt.IsFalse, qt.Commentf("no statement"))
 	qt.Check(t, second.Merge(first.Own(window)), qt.IsFalse)
 	qt.Check(t, second.Complete(window, []uint64{1}), qt.IsFalse, qt.Commentf("not closed"))
 	first.Close(window)
@@ -76,9 +77,9 @@
 	qt.Check(t, unnamed, qt.Equals, uint64(1))
 }
 
-// Guards against memory that grows with the windows, and against old windows that
-// come back.
-func TestOldWindowsAreForgotten(t *testing.T) {
+// Guards against memory that grows with the number of windows, and against dropped windows
+// that are created again.
+func TestOldWindowsAreDropped(t *testing.T) {
 	l := New(1)
 	l.Count(window, "a")
 	l.Forget(window+1, nil)
