--- a/internal/decision/readers/rota.go
+++ b/internal/decision/readers/rota.go
@@ -88,7 +88,7 @@
 
 	mu       sync.Mutex
 	members  map[uint64]member
-	matters  [carawayspread.Matters]matter
+	matters  [carawayspread.ResourceCount]matter
 	failed   time.Time // of the last failed call; zero if none failed since the last answered one
 	resigned bool
 }
@@ -100,13 +100,13 @@
 }
 
 // Heard records the heartbeat of a peer. Those of other zones are ignored.
-func (r *Rota) Heard(id uint64, s carawayspread.Presence) {
+func (r *Rota) Heard(id uint64, s carawayspread.PeerStatus) {
 	if s.Zone != r.zone || id == r.id {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.members[id] = member{capacity: s.Capacity, canRead: s.Reads, lastSeen: r.clock.Now()}
+	r.members[id] = member{capacity: s.Capacity, canRead: s.CanReadStore, lastSeen: r.clock.Now()}
 }
 
 // Retire leaves reading to others permanently, for a process that is shutting down.
@@ -152,13 +152,13 @@
 }
 
 // Confirm records that the store confirmed at that time what this process holds.
-func (r *Rota) Confirm(of carawayspread.Matter, at time.Time) {
+func (r *Rota) Confirm(of carawayspread.Resource, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.confirmLocked(of, at)
 }
 
-func (r *Rota) confirmLocked(of carawayspread.Matter, at time.Time) {
+func (r *Rota) confirmLocked(of carawayspread.Resource, at time.Time) {
 	m := &r.matters[of]
 	if at.After(m.confirmed) {
 		m.confirmed = at
@@ -167,7 +167,7 @@
 
 // Called records a call of this process to the store, which began at begun. Without an error
 // its response confirms what this process holds as of asOf.
-func (r *Rota) Called(of carawayspread.Matter, begun, asOf time.Time, err error) {
+func (r *Rota) Called(of carawayspread.Resource, begun, asOf time.Time, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := &r.matters[of]
@@ -183,7 +183,7 @@
 }
 
 // Age returns the time since the store last confirmed the matter; false if it never has.
-func (r *Rota) Age(of carawayspread.Matter) (time.Duration, bool) {
+func (r *Rota) Age(of carawayspread.Resource) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	confirmed := r.matters[of].confirmed
@@ -191,13 +191,13 @@
 }
 
 // Stale reports whether the matter was confirmed too long ago, or never.
-func (r *Rota) Stale(of carawayspread.Matter) bool {
+func (r *Rota) Stale(of carawayspread.Resource) bool {
 	age, ever := r.Age(of)
 	return !ever || age > r.maxAge(of)
 }
 
 // Due returns the time until this process is to call the store by itself; zero for now.
-func (r *Rota) Due(of carawayspread.Matter) time.Duration {
+func (r *Rota) Due(of carawayspread.Resource) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
@@ -224,8 +224,8 @@
 
 // pollInterval returns the mean time between a reader's calls; zero for routes, which are
 // watched continuously.
-func (r *Rota) pollInterval(of carawayspread.Matter) time.Duration {
-	if of == carawayspread.MatterRoutes {
+func (r *Rota) pollInterval(of carawayspread.Resource) time.Duration {
+	if of == carawayspread.ResourceRoutes {
 		return 0
 	}
 	return scale(pollFraction, r.terms.Leaving)
@@ -233,8 +233,8 @@
 
 // maxAge returns the age beyond which the matter is stale; a process that is not the reader
 // reads by itself before that.
-func (r *Rota) maxAge(of carawayspread.Matter) time.Duration {
-	if of == carawayspread.MatterRoutes {
+func (r *Rota) maxAge(of carawayspread.Resource) time.Duration {
+	if of == carawayspread.ResourceRoutes {
 		return scale(watchMaxAgeFraction, r.terms.InForce)
 	}
 	return scale(maxAgeFraction, r.terms.Leaving)
--- a/internal/decision/readers/rota_test.go
+++ b/internal/decision/readers/rota_test.go
@@ -17,20 +17,20 @@
 // that the store answers; with equal capacities the one with the smaller identifier.
 func TestReaderOfAZone(t *testing.T) {
 	for name, c := range map[string]struct {
-		peer  carawayspread.Presence
+		peer  carawayspread.PeerStatus
 		id    uint64
 		after time.Duration // since the peer's heartbeat
 		reads bool
 	}{
 		"alone":                   {reads: true, after: time.Hour},
-		"smaller peer":            {peer: carawayspread.Presence{Zone: "z", Capacity: 4, Reads: true}, reads: true},
-		"larger peer":             {peer: carawayspread.Presence{Zone: "z", Capacity: 6, Reads: true}},
-		"larger, not answered":    {peer: carawayspread.Presence{Zone: "z", Capacity: 6}, reads: true},
-		"larger, in another zone": {peer: carawayspread.Presence{Zone: "y", Capacity: 6, Reads: true}, reads: true},
-		"larger, timed out":       {peer: carawayspread.Presence{Zone: "z", Capacity: 6, Reads: true}, after: 2 * time.Second, reads: true},
-		"equal, smaller id":       {peer: carawayspread.Presence{Zone: "z", Capacity: 5, Reads: true}, id: 6},
-		"equal, larger id":        {peer: carawayspread.Presence{Zone: "z", Capacity: 5, Reads: true}, id: 8, reads: true},
-		"own message, duplicated": {peer: carawayspread.Presence{Zone: "z", Capacity: 9, Reads: true}, id: 7, reads: true},
+		"smaller peer":            {peer: carawayspread.PeerStatus{Zone: "z", Capacity: 4, CanReadStore: true}, reads: true},
+		"larger peer":             {peer: carawayspread.PeerStatus{Zone: "z", Capacity: 6, CanReadStore: true}},
+		"larger, not answered":    {peer: carawayspread.PeerStatus{Zone: "z", Capacity: 6}, reads: true},
+		"larger, in another zone": {peer: carawayspread.PeerStatus{Zone: "y", Capacity: 6, CanReadStore: true}, reads: true},
+		"larger, timed out":       {peer: carawayspread.PeerStatus{Zone: "z", Capacity: 6, CanReadStore: true}, after: 2 * time.Second, reads: true},
+		"equal, smaller id":       {peer: carawayspread.PeerStatus{Zone: "z", Capacity: 5, CanReadStore: true}, id: 6},
+		"equal, larger id":        {peer: carawayspread.PeerStatus{Zone: "z", Capacity: 5, CanReadStore: true}, id: 8, reads: true},
+		"own message, duplicated": {peer: carawayspread.PeerStatus{Zone: "z", Capacity: 9, CanReadStore: true}, id: 7, reads: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
@@ -46,7 +46,7 @@
 // process before its list has gone unconfirmed for half of that time, and a process whose
 // call was not answered after the retry interval.
 func TestTimeOfTheNextCall(t *testing.T) {
-	larger := carawayspread.Presence{Zone: "z", Capacity: 6, Reads: true}
+	larger := carawayspread.PeerStatus{Zone: "z", Capacity: 6, CanReadStore: true}
 	for name, c := range map[string]struct {
 		otherReader bool
 		err         error
@@ -59,14 +59,14 @@
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
 			r := New(7, "z", 5, terms, clock)
-			qt.Check(t, r.Due(carawayspread.MatterList), qt.Equals, time.Duration(0))
+			qt.Check(t, r.Due(carawayspread.ResourceEndpoints), qt.Equals, time.Duration(0))
 			if c.otherReader {
 				r.Heard(1, larger)
 			}
-			r.Called(carawayspread.MatterList, clock.Now(), clock.Now(), c.err)
-			due := r.Due(carawayspread.MatterList)
+			r.Called(carawayspread.ResourceEndpoints, clock.Now(), clock.Now(), c.err)
+			due := r.Due(carawayspread.ResourceEndpoints)
 			qt.Check(t, due >= c.least && due <= c.most, qt.IsTrue, qt.Commentf("%v", due))
-			qt.Check(t, r.Stale(carawayspread.MatterList), qt.Equals, c.err != nil)
+			qt.Check(t, r.Stale(carawayspread.ResourceEndpoints), qt.Equals, c.err != nil)
 		})
 	}
 }
