--- a/internal/decision/backpressure/backpressure.go
+++ b/internal/decision/backpressure/backpressure.go
@@ -26,9 +26,9 @@
 	membershipTTL = 500 * time.Millisecond
 )
 
-// Fleet returns the name of this process and those of all that are heard, itself
+// Membership returns the identifier of this process and those of all live processes, itself
 // included.
-type Fleet func() (self uint64, all []uint64)
+type Membership func() (self uint64, members []uint64)
 
 // state is the feedback of one endpoint.
 type state struct {
@@ -51,28 +51,29 @@
 // Backpressure tracks the feedback of all endpoints in one process. It is safe for
 // concurrent use.
 type Backpressure struct {
-	clock  carawayspread.Clock
-	fleet  Fleet
-	active atomic.Bool // states is not empty; lets requests skip the lock while no endpoint gives feedback
+	clock      carawayspread.Clock
+	membership Membership
+	active     atomic.Bool // states is not empty; lets requests skip the lock while no endpoint gives feedback
 
-	mu     sync.Mutex
-	states map[carawayspread.EndpointID]*state
-	self   uint64
-	all    []uint64
-	readAt time.Time // when fleet was last called
+	mu      sync.Mutex
+	states  map[carawayspread.EndpointID]*state
+	self    uint64
+	members []uint64
+	readAt  time.Time // when membership was last called
 }
 
 // New returns a tracker without feedback.
-func New(clock carawayspread.Clock, fleet Fleet) *Backpressure {
-	return &Backpressure{clock: clock, fleet: fleet, states: map[carawayspread.EndpointID]*state{}}
+func New(clock carawayspread.Clock, membership Membership) *Backpressure {
+	return &Backpressure{clock: clock, membership: membership, states: map[carawayspread.EndpointID]*state{}}
 }
 
-// Answered applies the feedback of a response whose request was sent at the given time. It
-// reports whether the state changed, and whether the feedback is to be forwarded to peers.
+// ObserveResponse applies the feedback of a response whose request was sent at the given
+// time. It reports whether the state changed, and whether the feedback is to be forwarded to
+// peers.
 //
 // Responses on different connections are reordered: one without a rate ends a limit only
 // if its request was sent after the limit was last reported.
-func (b *Backpressure) Answered(id carawayspread.EndpointID, sent time.Time, f carawayspread.Feedback) (changed, forward bool) {
+func (b *Backpressure) ObserveResponse(id carawayspread.EndpointID, sent time.Time, f carawayspread.Feedback) (changed, forward bool) {
 	if f == (carawayspread.Feedback{}) && !b.active.Load() {
 		return false, false
 	}
@@ -80,7 +81,7 @@
 	defer b.mu.Unlock()
 	now := b.clock.Now()
 	s := b.states[id]
-	if s != nil && !f.Limited && s.limit != nil && sent.After(s.limit.Since()) {
+	if s != nil && !f.Limited && s.limit != nil && sent.After(s.limit.ReportedAt()) {
 		s.limit, s.ended = nil, now
 		changed = true
 	}
@@ -89,10 +90,10 @@
 	return changed, f != (carawayspread.Feedback{}) || s != nil && s.limit == nil && now.Sub(s.ended) < endRepeat
 }
 
-// Refused applies the feedback of an endpoint that refused a request. It ends no limit,
-// since the refusal may come from a component in front of the one that reports rates. The
-// retry-after time applies to this process only.
-func (b *Backpressure) Refused(id carawayspread.EndpointID, f carawayspread.Feedback) (changed, forward bool) {
+// ObserveRefusal applies the feedback of an endpoint that refused a request. It ends no
+// limit, since the refusal may come from a component in front of the one that reports rates.
+// The retry-after time applies to this process only.
+func (b *Backpressure) ObserveRefusal(id carawayspread.EndpointID, f carawayspread.Feedback) (changed, forward bool) {
 	if f == (carawayspread.Feedback{}) {
 		return false, false
 	}
@@ -102,9 +103,9 @@
 	return changed, f.Limited || f.Draining
 }
 
-// Heard applies the feedback that a peer got in a response, and reports whether the state
-// changed.
-func (b *Backpressure) Heard(id carawayspread.EndpointID, f carawayspread.Feedback) (changed bool) {
+// ObservePeerFeedback applies the feedback that a peer got in a response, and reports whether
+// the state changed.
+func (b *Backpressure) ObservePeerFeedback(id carawayspread.EndpointID, f carawayspread.Feedback) (changed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.clock.Now()
@@ -142,7 +143,7 @@
 		return true
 	}
 	before := s.limit.Rate()
-	s.limit.Named(now, rate)
+	s.limit.SetRate(now, rate)
 	if rate != before {
 		s.sharedAt = time.Time{}
 	}
@@ -159,11 +160,11 @@
 	return s
 }
 
-// Listed returns the endpoints of the newest list, with those marked as leaving that have
-// reported it themselves: the list may be older than their responses. The state of an
-// endpoint that is missing from the list is kept for the retention time, since its entry
-// may disappear and reappear.
-func (b *Backpressure) Listed(endpoints []carawayspread.Endpoint) []carawayspread.Endpoint {
+// ApplyList returns the endpoints of the newest list, with those marked as leaving that have
+// reported it themselves: the list may be older than their responses. It drops state that is
+// no longer in force. The state of an endpoint that is missing from the list is kept for the
+// retention time, since its entry may disappear and reappear.
+func (b *Backpressure) ApplyList(endpoints []carawayspread.Endpoint) []carawayspread.Endpoint {
 	if !b.active.Load() {
 		return endpoints
 	}
@@ -189,9 +190,9 @@
 	return listed
 }
 
-// Withheld returns the set with all endpoints added that accept nothing from this process
-// now. The given set is not modified.
-func (b *Backpressure) Withheld(set map[carawayspread.EndpointID]bool) map[carawayspread.EndpointID]bool {
+// AddUnavailable returns the set with all endpoints added that accept nothing from this
+// process now. The given set is not modified.
+func (b *Backpressure) AddUnavailable(set map[carawayspread.EndpointID]bool) map[carawayspread.EndpointID]bool {
 	if !b.active.Load() {
 		return set
 	}
@@ -231,9 +232,9 @@
 	return b.accepts(now, id, s) && (s.limit == nil || s.limit.Take(now, b.share(now, id, s)))
 }
 
-// Opens returns the time until the first of the temporarily unavailable endpoints accepts a
-// request from this process again; zero if none is temporarily unavailable.
-func (b *Backpressure) Opens(endpoints []carawayspread.Endpoint) time.Duration {
+// TimeToAvailable returns the time until the first of the temporarily unavailable endpoints
+// accepts a request from this process again; zero if none is temporarily unavailable.
+func (b *Backpressure) TimeToAvailable(endpoints []carawayspread.Endpoint) time.Duration {
 	if !b.active.Load() {
 		return 0
 	}
@@ -267,12 +268,12 @@
 // share returns this process's share of the endpoint's rate. It is recomputed only when the
 // members are read again, since it costs one hash for each process.
 func (b *Backpressure) share(now time.Time, id carawayspread.EndpointID, s *state) float64 {
-	if b.all == nil || now.Sub(b.readAt) >= membershipTTL {
-		b.self, b.all = b.fleet()
+	if b.members == nil || now.Sub(b.readAt) >= membershipTTL {
+		b.self, b.members = b.membership()
 		b.readAt = now
 	}
 	if !s.sharedAt.Equal(b.readAt) {
-		s.share, s.sharedAt = ratelimit.Part(string(id), s.limit.Rate(), b.self, b.all), b.readAt
+		s.share, s.sharedAt = ratelimit.Share(string(id), s.limit.Rate(), b.self, b.members), b.readAt
 	}
 	return s.share
 }
--- a/internal/decision/backpressure/backpressure_test.go
+++ b/internal/decision/backpressure/backpressure_test.go
@@ -19,7 +19,7 @@
 
 var none carawayspread.Feedback
 
-func excludes(b *Backpressure, id carawayspread.EndpointID) bool { return b.Withheld(nil)[id] }
+func excludes(b *Backpressure, id carawayspread.EndpointID) bool { return b.AddUnavailable(nil)[id] }
 
 // Guards against a limit that ends too early: responses are reordered, and refusals may come
 // from a component in front of the one that reports rates. Only a response to a request that
@@ -29,35 +29,35 @@
 	b := New(clock, alone)
 	before := clock.Now()
 	clock.Advance(time.Millisecond)
-	changed, forward := b.Answered("w", before, limit(2))
+	changed, forward := b.ObserveResponse("w", before, limit(2))
 	qt.Check(t, changed && forward, qt.IsTrue)
-	changed, forward = b.Answered("w", before, limit(2))
+	changed, forward = b.ObserveResponse("w", before, limit(2))
 	qt.Check(t, !changed && forward, qt.IsTrue, qt.Commentf("forwarded to peers each time"))
 
-	changed, forward = b.Answered("w", before, none)
+	changed, forward = b.ObserveResponse("w", before, none)
 	qt.Check(t, changed || forward, qt.IsFalse)
-	changed, forward = b.Refused("w", none)
+	changed, forward = b.ObserveRefusal("w", none)
 	qt.Check(t, changed || forward, qt.IsFalse)
 	qt.Check(t, excludes(b, "w"), qt.IsTrue)
 
 	clock.Advance(time.Millisecond)
 	after := clock.Now()
-	changed, forward = b.Answered("w", after, none)
+	changed, forward = b.ObserveResponse("w", after, none)
 	qt.Check(t, changed && forward, qt.IsTrue)
 	qt.Check(t, excludes(b, "w"), qt.IsFalse)
-	changed, forward = b.Answered("w", after, none)
+	changed, forward = b.ObserveResponse("w", after, none)
 	qt.Check(t, !changed && forward, qt.IsTrue, qt.Commentf("forwarded again, since messages may be lost"))
 	clock.Advance(endRepeat)
-	_, forward = b.Answered("w", clock.Now(), none)
+	_, forward = b.ObserveResponse("w", clock.Now(), none)
 	qt.Check(t, forward, qt.IsFalse)
 }
 
 func TestFeedbackFromPeersApplies(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	b := New(clock, alone)
-	qt.Check(t, b.Heard("w", none), qt.IsFalse)
-	qt.Check(t, b.Heard("w", limit(1)), qt.IsTrue)
-	qt.Check(t, b.Heard("w", limit(1)), qt.IsFalse)
+	qt.Check(t, b.ObservePeerFeedback("w", none), qt.IsFalse)
+	qt.Check(t, b.ObservePeerFeedback("w", limit(1)), qt.IsTrue)
+	qt.Check(t, b.ObservePeerFeedback("w", limit(1)), qt.IsFalse)
 	qt.Check(t, excludes(b, "w"), qt.IsTrue)
 	qt.Check(t, b.Take("w"), qt.IsFalse)
 	qt.Check(t, b.Take("v"), qt.IsTrue)
@@ -65,7 +65,7 @@
 	qt.Check(t, excludes(b, "w"), qt.IsFalse)
 	qt.Check(t, b.Take("w"), qt.IsTrue)
 	qt.Check(t, excludes(b, "w"), qt.IsTrue)
-	qt.Check(t, b.Heard("w", none), qt.IsTrue)
+	qt.Check(t, b.ObservePeerFeedback("w", none), qt.IsTrue)
 	qt.Check(t, excludes(b, "w"), qt.IsFalse)
 }
 
@@ -76,21 +76,21 @@
 	clock := clockwork.NewFakeClock()
 	b := New(clock, alone)
 	other := carawayspread.NewEndpoint("v", "s", "z", "10.0.0.1:1", false)
-	b.Heard("w", limit(0))
-	b.Listed([]carawayspread.Endpoint{other})
+	b.ObservePeerFeedback("w", limit(0))
+	b.ApplyList([]carawayspread.Endpoint{other})
 	qt.Check(t, excludes(b, "w"), qt.IsTrue)
 	clock.Advance(retention + 1)
-	b.Listed([]carawayspread.Endpoint{other})
+	b.ApplyList([]carawayspread.Endpoint{other})
 	qt.Check(t, b.states, qt.HasLen, 0)
 	qt.Check(t, b.active.Load(), qt.IsFalse)
 }
 
 // Guards against an exclusion that modifies a request's set of endpoints already tried.
-func TestWithheldDoesNotModifyTheSet(t *testing.T) {
+func TestAddUnavailableDoesNotModifyTheSet(t *testing.T) {
 	b := New(clockwork.NewFakeClock(), alone)
 	tried := map[carawayspread.EndpointID]bool{"v": true}
-	b.Heard("w", limit(1))
-	qt.Check(t, b.Withheld(tried), qt.DeepEquals, map[carawayspread.EndpointID]bool{"v": true, "w": true})
+	b.ObservePeerFeedback("w", limit(1))
+	qt.Check(t, b.AddUnavailable(tried), qt.DeepEquals, map[carawayspread.EndpointID]bool{"v": true, "w": true})
 	qt.Check(t, tried, qt.DeepEquals, map[carawayspread.EndpointID]bool{"v": true})
 }
 
@@ -100,40 +100,40 @@
 	clock := clockwork.NewFakeClock()
 	b := New(clock, alone)
 	pause := carawayspread.Feedback{RetryAfter: time.Second}
-	b.Answered("w", clock.Now(), pause)
-	b.Heard("w", pause)
+	b.ObserveResponse("w", clock.Now(), pause)
+	b.ObservePeerFeedback("w", pause)
 	qt.Check(t, excludes(b, "w"), qt.IsFalse)
-	changed, forward := b.Refused("w", pause)
+	changed, forward := b.ObserveRefusal("w", pause)
 	qt.Check(t, changed && !forward, qt.IsTrue)
 	clock.Advance(500 * time.Millisecond)
-	changed, _ = b.Refused("w", carawayspread.Feedback{RetryAfter: 100 * time.Millisecond})
+	changed, _ = b.ObserveRefusal("w", carawayspread.Feedback{RetryAfter: 100 * time.Millisecond})
 	qt.Check(t, changed, qt.IsFalse)
 	clock.Advance(499 * time.Millisecond)
 	qt.Check(t, excludes(b, "w") && !b.Take("w"), qt.IsTrue)
 	clock.Advance(time.Millisecond)
 	qt.Check(t, !excludes(b, "w") && b.Take("w"), qt.IsTrue)
 	clock.Advance(endRepeat)
-	b.Listed(nil)
+	b.ApplyList(nil)
 	qt.Check(t, b.states, qt.HasLen, 0)
 }
 
 // The first endpoint that becomes available again counts, and none that never will.
-func TestOpensReturnsTheFirst(t *testing.T) {
+func TestTimeToAvailableIsOfTheFirst(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	b := New(clock, alone)
 	var all []carawayspread.Endpoint
 	for _, id := range []carawayspread.EndpointID{"free", "leaves", "closed", "slow"} {
 		all = append(all, carawayspread.NewEndpoint(id, "s", "z", "10.0.0.1:1", false))
 	}
-	qt.Check(t, b.Opens(all), qt.Equals, time.Duration(0))
-	b.Refused("leaves", carawayspread.Feedback{Draining: true, RetryAfter: time.Millisecond})
-	qt.Check(t, b.Opens(all), qt.Equals, time.Duration(0))
-	b.Refused("closed", carawayspread.Feedback{RetryAfter: 5 * time.Second})
-	qt.Check(t, b.Opens(all), qt.Equals, 5*time.Second)
-	b.Refused("slow", limit(0.5))
-	qt.Check(t, b.Opens(all), qt.Equals, 2*time.Second)
-	b.Refused("slow", limit(0))
-	qt.Check(t, b.Opens(all), qt.Equals, 5*time.Second)
+	qt.Check(t, b.TimeToAvailable(all), qt.Equals, time.Duration(0))
+	b.ObserveRefusal("leaves", carawayspread.Feedback{Draining: true, RetryAfter: time.Millisecond})
+	qt.Check(t, b.TimeToAvailable(all), qt.Equals, time.Duration(0))
+	b.ObserveRefusal("closed", carawayspread.Feedback{RetryAfter: 5 * time.Second})
+	qt.Check(t, b.TimeToAvailable(all), qt.Equals, 5*time.Second)
+	b.ObserveRefusal("slow", limit(0.5))
+	qt.Check(t, b.TimeToAvailable(all), qt.Equals, 2*time.Second)
+	b.ObserveRefusal("slow", limit(0))
+	qt.Check(t, b.TimeToAvailable(all), qt.Equals, 5*time.Second)
 }
 
 // Guards against requests to a draining endpoint that a list older than its response still
@@ -145,21 +145,21 @@
 		carawayspread.NewEndpoint("v", "s", "z", "10.0.0.1:1", false),
 		carawayspread.NewEndpoint("w", "s", "z", "10.0.0.2:1", false),
 	}
-	qt.Check(t, b.Heard("w", carawayspread.Feedback{Draining: true}), qt.IsTrue)
+	qt.Check(t, b.ObservePeerFeedback("w", carawayspread.Feedback{Draining: true}), qt.IsTrue)
 	for range 3 {
-		got := b.Listed(list)
+		got := b.ApplyList(list)
 		qt.Check(t, got[0].Leaving(), qt.IsFalse)
 		qt.Check(t, got[1].Leaving(), qt.IsTrue)
 		qt.Check(t, excludes(b, "w"), qt.IsTrue)
 		qt.Check(t, b.Take("w"), qt.IsFalse)
 		clock.Advance(retention)
-		b.Answered("w", clock.Now(), none)
+		b.ObserveResponse("w", clock.Now(), none)
 	}
 }
 
 // Measures the exclusion for one placement in a fleet of 360 processes, where this process
 // has a share of few of the limited endpoints.
-func BenchmarkWithheld(b *testing.B) {
+func BenchmarkAddUnavailable(b *testing.B) {
 	fleet := make([]uint64, 360)
 	for n := range fleet {
 		fleet[n] = uint64(n)
@@ -168,11 +168,11 @@
 		b.Run(fmt.Sprint(limited), func(b *testing.B) {
 			p := New(carawayspread.SystemClock(), func() (uint64, []uint64) { return 7, fleet })
 			for n := range limited {
-				p.Heard(carawayspread.EndpointID(fmt.Sprint("i-", n)), limit(2))
+				p.ObservePeerFeedback(carawayspread.EndpointID(fmt.Sprint("i-", n)), limit(2))
 			}
 			tried := map[carawayspread.EndpointID]bool{}
 			for b.Loop() {
-				p.Withheld(tried)
+				p.AddUnavailable(tried)
 			}
 		})
 	}
--- a/internal/decision/ratelimit/limit.go
+++ b/internal/decision/ratelimit/limit.go
@@ -43,11 +43,11 @@
 	return &Limit{rate: rate, reported: now, probed: now, filled: now}
 }
 
-// Named sets the rate that a response has just reported.
-func (l *Limit) Named(now time.Time, rate float64) { l.rate, l.reported = rate, now }
+// SetRate sets the rate that a response has just reported.
+func (l *Limit) SetRate(now time.Time, rate float64) { l.rate, l.reported = rate, now }
 
-// Since returns when a response last reported the rate.
-func (l *Limit) Since() time.Time { return l.reported }
+// ReportedAt returns when a response last reported the rate.
+func (l *Limit) ReportedAt() time.Time { return l.reported }
 
 // Rate returns the requests per second that the endpoint accepts from all processes.
 func (l *Limit) Rate() float64 { return l.rate }
--- a/internal/decision/ratelimit/limit_test.go
+++ b/internal/decision/ratelimit/limit_test.go
@@ -27,7 +27,7 @@
 	return f
 }
 
-func (f *fleet) share(n int) float64 { return Part("endpoint", f.rate, f.names[n], f.names) }
+func (f *fleet) share(n int) float64 { return Share("endpoint", f.rate, f.names[n], f.names) }
 
 // Guards against an endpoint that gets more requests than it reported, however the processes
 // send: in any time span it gets no more than its rate allows in that span plus one second.
@@ -40,7 +40,7 @@
 		for i, ms := range pauses {
 			now = now.Add(time.Duration(ms) * time.Millisecond)
 			for n, limit := range f.limits {
-				limit.Named(now, f.rate) // by any response
+				limit.SetRate(now, f.rate) // by any response
 				for range 1 + i%3 {
 					if limit.Take(now, f.share(n)) {
 						sent = append(sent, now)
@@ -97,7 +97,7 @@
 	left := append(append([]uint64{}, f.names[:user]...), f.names[user+1:]...)
 	sum := 0.0
 	for _, name := range left {
-		sum += Part("endpoint", f.rate, name, left)
+		sum += Share("endpoint", f.rate, name, left)
 	}
 	qt.Check(t, math.Abs(sum-1) < 1e-9, qt.IsTrue, qt.Commentf("%f", sum))
 }
@@ -112,7 +112,7 @@
 	qt.Check(t, l.Take(start.Add(500*time.Millisecond), 1), qt.IsTrue)
 	qt.Check(t, l.Take(start.Add(500*time.Millisecond), 1), qt.IsFalse)
 
-	l.Named(start.Add(time.Second), 0)
+	l.SetRate(start.Add(time.Second), 0)
 	later := start.Add(time.Second + probeInterval)
 	l.tokens = 0
 	qt.Check(t, l.Take(later.Add(-1), 1), qt.IsFalse)
--- a/internal/decision/ratelimit/part.go
+++ b/internal/decision/ratelimit/share.go
@@ -6,11 +6,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Part returns a process's share of an endpoint's rate, from 0 to 1. The fleet holds the
+// Share returns a process's share of an endpoint's rate, from 0 to 1. The fleet holds the
 // identifiers of all live processes, itself included. The processes that use the endpoint
 // are those with the highest scores for it (rendezvous hashing), so that a process that
 // joins or leaves changes the shares of few.
-func Part(endpoint string, rate float64, self uint64, fleet []uint64) float64 {
+func Share(endpoint string, rate float64, self uint64, fleet []uint64) float64 {
 	users := min(max(1, int(rate)), len(fleet))
 	if users == len(fleet) {
 		return 1 / float64(max(1, users))
--- a/internal/process/gateway/call.go
+++ b/internal/process/gateway/call.go
@@ -103,7 +103,7 @@
 func (c *call) placing() carawayspread.PlacementRequest {
 	p := carawayspread.PlacementRequest{
 		Route: c.route, Service: c.service, Arrived: c.arrived, Deadline: c.deadline,
-		Exclude: c.g.backpressure.Withheld(c.exclude), Bytes: len(c.body), Fingerprint: c.fingerprint, SingleEndpoint: c.direct, Admitted: c.direct || c.ran > 0,
+		Exclude: c.g.backpressure.AddUnavailable(c.exclude), Bytes: len(c.body), Fingerprint: c.fingerprint, SingleEndpoint: c.direct, Admitted: c.direct || c.ran > 0,
 		TargetMissed: c.ask.TimeLeft > 0 && c.ask.TimeLeft < time.Duration(lateShare*float64(c.route.Timeout)),
 	}
 	if c.service.Engine != nil {
--- a/internal/process/gateway/feedback.go
+++ b/internal/process/gateway/feedback.go
@@ -15,7 +15,7 @@
 
 // WithFeedback sets what tells peers of an endpoint's feedback, and which processes
 // share the rate that one names.
-func WithFeedback(tell func(carawayspread.EndpointID, carawayspread.Feedback), fleet backpressure.Fleet) Option {
+func WithFeedback(tell func(carawayspread.EndpointID, carawayspread.Feedback), fleet backpressure.Membership) Option {
 	return func(g *Gateway) {
 		g.tellFeedback = tell
 		g.backpressure = backpressure.New(g.clock, fleet)
@@ -27,7 +27,7 @@
 
 // FeedbackHeard takes what an answer to a peer says of its endpoint.
 func (g *Gateway) FeedbackHeard(id carawayspread.EndpointID, f carawayspread.Feedback) {
-	if g.backpressure.Heard(id, f) {
+	if g.backpressure.ObservePeerFeedback(id, f) {
 		g.logFeedback(id, f, "peer")
 	}
 }
@@ -43,13 +43,13 @@
 	var changed, tell bool
 	switch {
 	case verdict == carawayspread.ReplyNotRun || verdict == carawayspread.ReplyAnswer && f.RetryAfter > 0:
-		changed, tell = c.g.backpressure.Refused(id, f)
+		changed, tell = c.g.backpressure.ObserveRefusal(id, f)
 	case verdict == carawayspread.ReplyAnswer:
-		changed, tell = c.g.backpressure.Answered(id, sent, f)
+		changed, tell = c.g.backpressure.ObserveResponse(id, sent, f)
 	case verdict == carawayspread.ReplyInconclusive:
 		// What is no answer to this request may be no answer at all: the most that it
 		// can do is to have this process wait.
-		changed, _ = c.g.backpressure.Refused(id, carawayspread.Feedback{RetryAfter: f.RetryAfter})
+		changed, _ = c.g.backpressure.ObserveRefusal(id, carawayspread.Feedback{RetryAfter: f.RetryAfter})
 	}
 	if changed {
 		c.g.logFeedback(id, f, "answer")
@@ -96,7 +96,7 @@
 // that asked for less opens again.
 func (c *call) untilOpen(err error) error {
 	refusal, ok := carawayspread.AsError(err)
-	opens := c.g.backpressure.Opens((*c.g.listed.Load())[c.service.Name])
+	opens := c.g.backpressure.TimeToAvailable((*c.g.listed.Load())[c.service.Name])
 	if !ok || refusal.Code() != carawayspread.CodeNoEndpoint || opens <= refusal.RetryAfter() {
 		return err
 	}
--- a/internal/process/gateway/gateway.go
+++ b/internal/process/gateway/gateway.go
@@ -161,7 +161,7 @@
 
 // Listed takes all endpoints.
 func (g *Gateway) Listed(endpoints []carawayspread.Endpoint) {
-	endpoints = g.backpressure.Listed(endpoints)
+	endpoints = g.backpressure.ApplyList(endpoints)
 	byService := map[string][]carawayspread.Endpoint{}
 	if t := g.routing.Load(); t != nil {
 		for name := range t.Services() {
