--- a/internal/controller/usagereporter/world_test.go
+++ b/internal/controller/usagereporter/world_test.go
@@ -294,7 +294,7 @@
 		Workspaces:  func() map[string]bool { return map[string]bool{"a": true, "b": true} },
 		ServesAlone: 5 * time.Second, Backoff: w.backoff, Clock: p, Log: decisionlog.New(io.Discard), Metrics: metrics.NewSet(),
 	})
-	p.ledger.Name(map[string]bool{"a": true, "b": true})
+	p.ledger.AddNames(map[string]bool{"a": true, "b": true})
 	w.mu.Lock()
 	w.processes = append(w.processes, p)
 	w.mu.Unlock()
--- a/internal/daemon/gatewayd/usage.go
+++ b/internal/daemon/gatewayd/usage.go
@@ -86,7 +86,7 @@
 	if d.usage == nil || keyring == nil || d.usage.named.Swap(keyring) == keyring {
 		return
 	}
-	d.usage.ledger.Name(keyring.Names())
+	d.usage.ledger.AddNames(keyring.Names())
 }
 
 // began counts a request that began to run so long ago.
--- a/internal/decision/authentication/authentication.go
+++ b/internal/decision/authentication/authentication.go
@@ -30,20 +30,20 @@
 
 // Policy holds the bounds that operators are guaranteed.
 type Policy struct {
-	// Revoked is the time after an accepted revocation from which on no request that is
-	// sent under the key runs; zero means no guarantee.
-	Revoked time.Duration
-	// Added is the time after its acceptance from which on a new key works in all
+	// RevocationBound is the time after an accepted revocation from which on no request that
+	// is sent under the key runs; zero means no guarantee.
+	RevocationBound time.Duration
+	// ActivationBound is the time after its acceptance from which on a new key works in all
 	// processes; zero means no guarantee.
-	Added time.Duration
+	ActivationBound time.Duration
 }
 
 // Query is the input of the decision on one request.
 type Query struct {
-	Keyring *carawayspread.Keyring
-	Token   string        // empty if the request carries no well-formed key
-	Age     time.Duration // upper bound of the age of the keyring; ignored unless Known
-	Known   bool          // whether Age is valid
+	Keyring  *carawayspread.Keyring
+	Token    string        // empty if the request carries no well-formed key
+	Age      time.Duration // upper bound of the age of the keyring; ignored unless AgeKnown
+	AgeKnown bool          // whether Age is valid
 	// Current reports that the store was queried for a newer keyring after the request
 	// arrived, and has answered.
 	Current bool
@@ -54,19 +54,19 @@
 // Decide returns the workspace and whether the request may run for it.
 //
 // The age is measured up to now and the request was sent before it arrived, so a key that
-// is accepted was not revoked longer than Revoked before the request was sent. A key that
+// is accepted was not revoked longer than RevocationBound before the request was sent. A key that
 // was rejected before is rejected again without a query of the store while the keyring is
-// no older than Added.
+// no older than ActivationBound.
 func (p Policy) Decide(q Query) (carawayspread.Workspace, Verdict) {
 	workspace, held := q.Keyring.Workspace(q.Token)
 	switch {
 	case q.Token == "":
 		return workspace, Reject
-	case held && p.Revoked > 0 && (!q.Known || q.Age > p.Revoked):
+	case held && p.RevocationBound > 0 && (!q.AgeKnown || q.Age > p.RevocationBound):
 		return carawayspread.Workspace{}, Unproven
 	case held:
 		return workspace, Accept
-	case q.Current, q.Rejected && q.Known && q.Age <= p.Added:
+	case q.Current, q.Rejected && q.AgeKnown && q.Age <= p.ActivationBound:
 		return workspace, Reject
 	}
 	return workspace, Unknown
--- a/internal/decision/fleetbudget/budget.go
+++ b/internal/decision/fleetbudget/budget.go
@@ -21,8 +21,8 @@
 	buckets      = 20 // per window
 )
 
-// Terms are the bounds that operators set.
-type Terms struct {
+// Limits bound the retries of all processes together, as set by operators.
+type Limits struct {
 	Ratio  float64       // retries per request
 	Slack  float64       // retries per window of all processes, regardless of requests
 	Window time.Duration // the bounds hold in every time span of this length
@@ -31,7 +31,7 @@
 // Budget counts the requests and retries of one service. It is safe for concurrent use.
 type Budget struct {
 	clock     carawayspread.Clock
-	terms     Terms
+	limits    Limits
 	processes func() int // processes that share the slack; at least 1
 
 	mu       sync.Mutex
@@ -41,12 +41,12 @@
 }
 
 // New returns an unspent budget.
-func New(clock carawayspread.Clock, terms Terms, processes func() int) *Budget {
-	return &Budget{clock: clock, terms: terms, processes: processes}
+func New(clock carawayspread.Clock, limits Limits, processes func() int) *Budget {
+	return &Budget{clock: clock, limits: limits, processes: processes}
 }
 
-// Took counts a request.
-func (b *Budget) Took() {
+// CountRequest counts a request.
+func (b *Budget) CountRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.requests[b.advance()]++
@@ -62,7 +62,7 @@
 		requests += b.requests[n]
 		retries += b.retries[n]
 	}
-	allowed := usedFraction * (b.terms.Ratio*float64(requests) + b.terms.Slack/float64(max(1, b.processes())))
+	allowed := usedFraction * (b.limits.Ratio*float64(requests) + b.limits.Slack/float64(max(1, b.processes())))
 	if float64(retries+1) > allowed {
 		return false
 	}
@@ -72,7 +72,7 @@
 
 // advance clears the buckets that have left the window and returns the index of the newest.
 func (b *Budget) advance() int {
-	now := b.clock.Now().UnixNano() / int64(max(1, b.terms.Window/buckets))
+	now := b.clock.Now().UnixNano() / int64(max(1, b.limits.Window/buckets))
 	for n := max(b.last+1, now-buckets); n <= now; n++ {
 		b.requests[n%(buckets+1)], b.retries[n%(buckets+1)] = 0, 0
 	}
--- a/internal/decision/fleetbudget/budget_test.go
+++ b/internal/decision/fleetbudget/budget_test.go
@@ -9,18 +9,18 @@
 	"pgregory.net/rapid"
 )
 
-var terms = Terms{Ratio: 0.2, Slack: 54, Window: 10 * time.Second}
+var limits = Limits{Ratio: 0.2, Slack: 54, Window: 10 * time.Second}
 
 // Guards against more retries than all processes together may send, however requests and
 // retries are spread over them: in every time span of the window's length, the retries of
 // all processes are at most the ratio of their requests plus the slack.
-func TestAllTogetherKeepToTheTerms(t *testing.T) {
+func TestAllProcessesTogetherKeepTheLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := clockwork.NewFakeClock()
 		processes := rapid.IntRange(1, 8).Draw(t, "processes")
 		budgets := make([]*Budget, processes)
 		for i := range budgets {
-			budgets[i] = New(clock, terms, func() int { return processes })
+			budgets[i] = New(clock, limits, func() int { return processes })
 		}
 		type event struct {
 			at                time.Time
@@ -31,7 +31,7 @@
 			e := event{at: clock.Now()}
 			b := budgets[rapid.IntRange(0, processes-1).Draw(t, "who")]
 			for range rapid.IntRange(0, 30).Draw(t, "requests") {
-				b.Took()
+				b.CountRequest()
 				e.requests++
 			}
 			for range rapid.IntRange(0, 60).Draw(t, "wanted") {
@@ -45,18 +45,18 @@
 		for i, first := range events {
 			requests, retries := 0, 0
 			for _, before := range events[:i] {
-				if first.at.Sub(before.at) <= terms.Window {
+				if first.at.Sub(before.at) <= limits.Window {
 					requests += before.requests
 				}
 			}
 			for _, e := range events[i:] {
-				if e.at.Sub(first.at) >= terms.Window {
+				if e.at.Sub(first.at) >= limits.Window {
 					break
 				}
 				requests += e.requests
 				retries += e.retries
 			}
-			if limit := terms.Ratio*float64(requests) + terms.Slack; float64(retries) > limit {
+			if limit := limits.Ratio*float64(requests) + limits.Slack; float64(retries) > limit {
 				t.Fatalf("%d retries within a window, allowed are %.1f", retries, limit)
 			}
 		}
@@ -66,7 +66,7 @@
 // Guards against a budget that stays spent after the window is over.
 func TestBudgetIsRestored(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	b := New(clock, terms, func() int { return 1 })
+	b := New(clock, limits, func() int { return 1 })
 	spend := func() (n int) {
 		for b.Allow() {
 			n++
@@ -74,8 +74,8 @@
 		return n
 	}
 	first := spend()
-	qt.Check(t, first, qt.Equals, int(usedFraction*terms.Slack))
+	qt.Check(t, first, qt.Equals, int(usedFraction*limits.Slack))
 	qt.Check(t, spend(), qt.Equals, 0)
-	clock.Advance(2 * terms.Window)
+	clock.Advance(2 * limits.Window)
 	qt.Check(t, spend(), qt.Equals, first)
 }
--- a/internal/decision/rejections/rejections.go
+++ b/internal/decision/rejections/rejections.go
@@ -36,8 +36,8 @@
 	r.keys[key] = true
 }
 
-// Holds reports whether the key is cached as held by no workspace.
-func (r *Rejections) Holds(key carawayspread.KeyDigest) bool {
+// Contains reports whether the key is cached.
+func (r *Rejections) Contains(key carawayspread.KeyDigest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.keys[key]
--- a/internal/decision/usage/ledger.go
+++ b/internal/decision/usage/ledger.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// Name adds names of workspaces, which sums are keyed by.
-func (l *Ledger) Name(names map[string]bool) {
+// AddNames adds names of workspaces, which sums are keyed by.
+func (l *Ledger) AddNames(names map[string]bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name := range names {
--- a/internal/decision/usage/ledger_test.go
+++ b/internal/decision/usage/ledger_test.go
@@ -39,7 +39,7 @@
 		for _, s := range rapid.Permutation(sent).Draw(t, "rest") {
 			collector.Merge(s)
 		}
-		collector.Name(map[string]bool{"w0": true, "w1": true, "w2": true, "w3": true})
+		collector.AddNames(map[string]bool{"w0": true, "w1": true, "w2": true, "w3": true})
 		counts, unnamed := collector.Sum(window)
 		if unnamed > 0 || fmt.Sprint(counts) != fmt.Sprint(want) {
 			t.Fatalf("%v, %d unnamed, want %v", counts, unnamed, want)
@@ -71,7 +71,7 @@
 	third.Merge(first.Own(window))
 	counts, _ := third.Sum(window)
 	qt.Check(t, counts, qt.DeepEquals, map[string]uint64{}, qt.Commentf("no names"))
-	third.Name(map[string]bool{"a": true})
+	third.AddNames(map[string]bool{"a": true})
 	counts, unnamed := third.Sum(window)
 	qt.Check(t, counts, qt.DeepEquals, map[string]uint64{"a": 2})
 	qt.Check(t, unnamed, qt.Equals, uint64(1))
--- a/internal/process/gateway/authenticate.go
+++ b/internal/process/gateway/authenticate.go
@@ -29,7 +29,7 @@
 // have stopped, zero where none is promised, and the time in which an added one must work.
 func WithEvidence(evidence carawayspread.ConfigFreshness, revoked, added time.Duration) Option {
 	return func(g *Gateway) {
-		g.evidence, g.access = evidence, authentication.Policy{Revoked: revoked, Added: added}
+		g.evidence, g.access = evidence, authentication.Policy{RevocationBound: revoked, ActivationBound: added}
 	}
 }
 
@@ -42,11 +42,11 @@
 // Proven reports whether requests with an API key can be taken now, or need none.
 func (g *Gateway) Proven() bool {
 	routing := g.routing.Load()
-	if routing == nil || routing.Keyring() == nil || g.access.Revoked <= 0 {
+	if routing == nil || routing.Keyring() == nil || g.access.RevocationBound <= 0 {
 		return true
 	}
 	age, known := g.evidence.Age()
-	return known && age <= g.access.Revoked
+	return known && age <= g.access.RevocationBound
 }
 
 // admit finds the route of the request and the workspace of its API key. Where the
@@ -59,7 +59,7 @@
 			return err
 		}
 		token, cause := c.credential()
-		verdict := c.authenticate(authentication.Query{Token: token, Age: age, Known: known, Current: current})
+		verdict := c.authenticate(authentication.Query{Token: token, Age: age, AgeKnown: known, Current: current})
 		switch {
 		case verdict == authentication.Accept:
 			return nil
@@ -98,7 +98,7 @@
 	if q.Keyring = c.routing.Keyring(); q.Keyring == nil {
 		return authentication.Accept
 	}
-	q.Rejected = c.g.rejections.Holds(carawayspread.DigestKey(q.Token))
+	q.Rejected = c.g.rejections.Contains(carawayspread.DigestKey(q.Token))
 	workspace, verdict := c.g.access.Decide(q)
 	switch {
 	case verdict == authentication.Accept:
--- a/internal/process/gateway/authenticate_test.go
+++ b/internal/process/gateway/authenticate_test.go
@@ -35,7 +35,7 @@
 	b := newBench(t)
 	b.gateway.Adopt(keyed(2, "revoked"))
 	b.gateway.evidence = renewing{func() { b.gateway.Adopt(keyed(3, "other")) }}
-	b.gateway.access.Revoked = time.Second
+	b.gateway.access.RevocationBound = time.Second
 	resp, _, err := b.ask(t, "/never/x", "body", "Authorization", "Bearer revoked")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, resp.StatusCode, qt.Equals, 401)
--- a/internal/process/gateway/call.go
+++ b/internal/process/gateway/call.go
@@ -68,7 +68,7 @@
 var errBroken = errors.New("the endpoint gave no whole answer")
 
 func (c *call) serve() {
-	c.g.budget(c.service.Name).Took()
+	c.g.budget(c.service.Name).CountRequest()
 	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline)
 	defer cancel()
 	c.exclude = map[carawayspread.EndpointID]bool{}
--- a/internal/process/gateway/gateway.go
+++ b/internal/process/gateway/gateway.go
@@ -61,7 +61,7 @@
 	// backpressure holds what endpoints say of themselves.
 	backpressure *backpressure.Backpressure
 	tellFeedback func(carawayspread.EndpointID, carawayspread.Feedback)
-	terms        fleetbudget.Terms
+	terms        fleetbudget.Limits
 	share        func() int
 	crashed      func(fingerprint uint64, id carawayspread.EndpointID, withdrawn bool)
 	answered     func(fingerprint uint64)
@@ -88,7 +88,7 @@
 type Option func(*Gateway)
 
 // WithTerms sets what may be sent beyond first attempts, by how many processes.
-func WithTerms(terms fleetbudget.Terms, share func() int) Option {
+func WithTerms(terms fleetbudget.Limits, share func() int) Option {
 	return func(g *Gateway) { g.terms, g.share = terms, share }
 }
 
@@ -115,7 +115,7 @@
 		quarantine:   quarantine.New(clock, quarantine.Term(suspicion)),
 		backpressure: backpressure.New(clock, alone),
 		tellFeedback: func(carawayspread.EndpointID, carawayspread.Feedback) {},
-		terms:        fleetbudget.Terms{Ratio: 0.1, Slack: 10, Window: 10 * time.Second},
+		terms:        fleetbudget.Limits{Ratio: 0.1, Slack: 10, Window: 10 * time.Second},
 		share:        func() int { return 1 },
 		listAge:      func() time.Duration { return 0 },
 		crashed:      func(uint64, carawayspread.EndpointID, bool) {},
--- a/internal/process/gateway/gateway_test.go
+++ b/internal/process/gateway/gateway_test.go
@@ -151,7 +151,7 @@
 	b.lines = &bytes.Buffer{}
 	b.log = decisionlog.New(b.lines)
 	b.gateway = New(b.exchange, wire.Protocol{}, b.placer, b.clock, b.log,
-		WithTerms(fleetbudget.Terms{Ratio: 1, Slack: 10, Window: 10 * time.Second}, func() int { return 1 }))
+		WithTerms(fleetbudget.Limits{Ratio: 1, Slack: 10, Window: 10 * time.Second}, func() int { return 1 }))
 	b.gateway.Adopt(carawayspread.NewRouting(1, []*carawayspread.Route{
 		route("safe", carawayspread.RetryIdempotent, false, 2),
 		route("never", carawayspread.RetryNever, false, 3),
@@ -342,7 +342,7 @@
 		steps = append(steps, notRun(503))
 	}
 	b := newBench(t, steps...)
-	b.gateway.terms = fleetbudget.Terms{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}
+	b.gateway.terms = fleetbudget.Limits{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}
 	b.gateway.share = func() int { return 4 }
 	const requests = 50
 	for range requests {
--- a/internal/version/gatewaysettings/settings.go
+++ b/internal/version/gatewaysettings/settings.go
@@ -30,7 +30,7 @@
 	store     string
 	grace     time.Duration
 	memory    int64
-	budget    fleetbudget.Terms
+	budget    fleetbudget.Limits
 	placement string
 	roles     string
 	terms     readers.Terms
@@ -221,7 +221,7 @@
 func (s *Settings) Memory() int64 { return s.memory }
 
 // Budget returns what may be sent beyond first attempts.
-func (s *Settings) Budget() fleetbudget.Terms { return s.budget }
+func (s *Settings) Budget() fleetbudget.Limits { return s.budget }
 
 // RolePolicy returns the name of a registered role policy.
 func (s *Settings) RolePolicy() string { return s.roles }
