--- a/internal/daemon/gatewayd/daemon.go
+++ b/internal/daemon/gatewayd/daemon.go
@@ -73,7 +73,7 @@
 	gateway  *gateway.Gateway
 	peers    *peers.Socket
 	placer   carawayspread.Placer
-	rota     *readers.Rota
+	rota     *readers.Election
 	follower *follower.Follower
 	learner  *knowledge.Learner
 	keeper   *rolekeeper.Keeper // nil where no role changes
@@ -116,7 +116,7 @@
 		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 	d.gateway = gateway.New(ports.Exchange, ports.Protocol, d.placer, clock, d.lines,
-		gateway.WithEvidence(evidence{d}, s.Revoked(), s.Terms().InForce),
+		gateway.WithEvidence(evidence{d}, s.Revoked(), s.Terms().ConfigApply),
 		gateway.WithUsage(d.began),
 		gateway.WithTerms(s.Budget(), d.peers.Share),
 		gateway.WithFeedback(d.peers.TellFeedback, d.peers.Fleet),
@@ -146,7 +146,7 @@
 	d.learner = knowledge.New(d.follower, d.peers.Known, d.clock, d.log, d.gateway.Metrics(),
 		knowledge.WithStoreTime(ports.Uptime, ports.StoreTime.Observe))
 	d.gateway.Metrics().NewGauge("gateway_reads_store", func() float64 {
-		if d.rota.Reads() {
+		if d.rota.IsReader() {
 			return 1
 		}
 		return 0
@@ -185,7 +185,7 @@
 // Presents takes how a peer stands.
 func (d *Daemon) Presents(id uint64, address string, s carawayspread.PeerStatus) {
 	d.follower.Heard(id, address, s)
-	d.trueTime.Heard(id, s.StoreEpoch)
+	d.trueTime.ObservePeer(id, s.StoreEpoch)
 }
 
 // Crashed takes a request that broke an endpoint before a peer.
--- a/internal/daemon/gatewayd/leave.go
+++ b/internal/daemon/gatewayd/leave.go
@@ -36,7 +36,7 @@
 // that request is passed on, and its caller sees neither an answer nor a refusal.
 func (d *Daemon) leave() {
 	d.leaving.Store(true)
-	d.rota.Retire()
+	d.rota.Resign()
 	begun := d.clock.Now()
 	end := begun.Add(time.Duration(graceUsed * float64(d.settings.Grace())))
 	last := begun.Add(time.Duration(graceAnswered * float64(d.settings.Grace())))
--- a/internal/decision/readers/rota.go
+++ b/internal/decision/readers/rota.go
@@ -56,10 +56,10 @@
 	retryPerProcess  = 100 * time.Millisecond
 )
 
-// Terms are the bounds that operators are guaranteed.
-type Terms struct {
-	Leaving time.Duration // after which nothing more is sent to a leaving endpoint
-	InForce time.Duration // after which a configuration is in force in all processes
+// Bounds are the times that operators are guaranteed.
+type Bounds struct {
+	Drain       time.Duration // after which nothing more is sent to a leaving endpoint
+	ConfigApply time.Duration // after which a configuration is in force in all processes
 }
 
 // member is another process of this zone.
@@ -69,82 +69,82 @@
 	lastSeen time.Time // of its last heartbeat
 }
 
-// matter is how this process stands with one matter.
-type matter struct {
+// resourceState is how this process stands with one resourceState.
+type resourceState struct {
 	confirmed time.Time // when the store last confirmed it, as far as is known; zero for never
 	called    time.Time // start of this process's last call, or its end if it failed
 	failed    bool      // whether that call failed
 	random    float64   // in [0, 1), for the jitter; drawn with each call
 }
 
-// Rota is one process's view of the election and of the age of its data. It is safe for
-// concurrent use.
-type Rota struct {
+// Election is one process's view of the reader election and of the age of its resources. It
+// is safe for concurrent use.
+type Election struct {
 	id       uint64
 	zone     string
 	capacity uint32
-	terms    Terms
+	bounds   Bounds
 	clock    carawayspread.Clock
 
-	mu       sync.Mutex
-	members  map[uint64]member
-	matters  [carawayspread.ResourceCount]matter
-	failed   time.Time // of the last failed call; zero if none failed since the last answered one
-	resigned bool
+	mu        sync.Mutex
+	members   map[uint64]member
+	resources [carawayspread.ResourceCount]resourceState
+	failed    time.Time // of the last failed call; zero if none failed since the last answered one
+	resigned  bool
 }
 
 // New returns the view of the process with that identifier, which is drawn at random at its
 // start.
-func New(id uint64, zone string, capacity uint32, terms Terms, clock carawayspread.Clock) *Rota {
-	return &Rota{id: id, zone: zone, capacity: capacity, terms: terms, clock: clock, members: map[uint64]member{}}
+func New(id uint64, zone string, capacity uint32, bounds Bounds, clock carawayspread.Clock) *Election {
+	return &Election{id: id, zone: zone, capacity: capacity, bounds: bounds, clock: clock, members: map[uint64]member{}}
 }
 
-// Heard records the heartbeat of a peer. Those of other zones are ignored.
-func (r *Rota) Heard(id uint64, s carawayspread.PeerStatus) {
-	if s.Zone != r.zone || id == r.id {
+// ObservePeer records the heartbeat of a peer. Those of other zones are ignored.
+func (e *Election) ObservePeer(id uint64, s carawayspread.PeerStatus) {
+	if s.Zone != e.zone || id == e.id {
 		return
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.members[id] = member{capacity: s.Capacity, canRead: s.CanReadStore, lastSeen: r.clock.Now()}
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.members[id] = member{capacity: s.Capacity, canRead: s.CanReadStore, lastSeen: e.clock.Now()}
 }
 
-// Retire leaves reading to others permanently, for a process that is shutting down.
-func (r *Rota) Retire() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.resigned = true
+// Resign permanently leaves reading to others, for a process that is shutting down.
+func (e *Election) Resign() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.resigned = true
 }
 
-// Able reports whether this process can read: it has not resigned, and the store answers it
+// CanRead reports whether this process can read: it has not resigned, and the store answers it
 // as far as is known.
-func (r *Rota) Able() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.ableLocked(r.clock.Now())
+func (e *Election) CanRead() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.canReadLocked(e.clock.Now())
 }
 
-func (r *Rota) ableLocked(now time.Time) bool {
-	return !r.resigned && (r.failed.IsZero() || now.Sub(r.failed) > failureCooldown)
+func (e *Election) canReadLocked(now time.Time) bool {
+	return !e.resigned && (e.failed.IsZero() || now.Sub(e.failed) > failureCooldown)
 }
 
-// Reads reports whether this process is the reader of its zone.
-func (r *Rota) Reads() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.readsLocked(r.clock.Now())
+// IsReader reports whether this process is the reader of its zone.
+func (e *Election) IsReader() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.isReaderLocked(e.clock.Now())
 }
 
-func (r *Rota) readsLocked(now time.Time) bool {
-	if !r.ableLocked(now) {
+func (e *Election) isReaderLocked(now time.Time) bool {
+	if !e.canReadLocked(now) {
 		return false
 	}
-	for id, m := range r.members {
+	for id, m := range e.members {
 		if now.Sub(m.lastSeen) > peerTimeout {
-			delete(r.members, id)
+			delete(e.members, id)
 			continue
 		}
-		if m.canRead && (m.capacity > r.capacity || m.capacity == r.capacity && id < r.id) {
+		if m.canRead && (m.capacity > e.capacity || m.capacity == e.capacity && id < e.id) {
 			return false
 		}
 	}
@@ -152,92 +152,93 @@
 }
 
 // Confirm records that the store confirmed at that time what this process holds.
-func (r *Rota) Confirm(of carawayspread.Resource, at time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.confirmLocked(of, at)
+func (e *Election) Confirm(of carawayspread.Resource, at time.Time) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.confirmLocked(of, at)
 }
 
-func (r *Rota) confirmLocked(of carawayspread.Resource, at time.Time) {
-	m := &r.matters[of]
+func (e *Election) confirmLocked(of carawayspread.Resource, at time.Time) {
+	m := &e.resources[of]
 	if at.After(m.confirmed) {
 		m.confirmed = at
 	}
 }
 
-// Called records a call of this process to the store, which began at begun. Without an error
-// its response confirms what this process holds as of asOf.
-func (r *Rota) Called(of carawayspread.Resource, begun, asOf time.Time, err error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	m := &r.matters[of]
+// RecordCall records a call of this process to the store, which began at begun. Without an
+// error its response confirms what this process holds as of asOf.
+func (e *Election) RecordCall(of carawayspread.Resource, begun, asOf time.Time, err error) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	m := &e.resources[of]
 	m.called, m.failed = begun, err != nil
 	m.random = rand.Float64()
 	if err != nil {
-		r.failed = r.clock.Now()
-		m.called = r.failed
+		e.failed = e.clock.Now()
+		m.called = e.failed
 		return
 	}
-	r.failed = time.Time{}
-	r.confirmLocked(of, asOf)
-}
-
-// Age returns the time since the store last confirmed the matter; false if it never has.
-func (r *Rota) Age(of carawayspread.Resource) (time.Duration, bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	confirmed := r.matters[of].confirmed
-	return max(0, r.clock.Now().Sub(confirmed)), !confirmed.IsZero()
-}
-
-// Stale reports whether the matter was confirmed too long ago, or never.
-func (r *Rota) Stale(of carawayspread.Resource) bool {
-	age, ever := r.Age(of)
-	return !ever || age > r.maxAge(of)
-}
-
-// Due returns the time until this process is to call the store by itself; zero for now.
-func (r *Rota) Due(of carawayspread.Resource) time.Duration {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.clock.Now()
-	m := r.matters[of]
-	due := m.confirmed.Add(scale(1-takeoverJitter*m.random, r.maxAge(of)))
-	if r.readsLocked(now) {
-		due = later(m.called, m.confirmed).Add(scale(1+pollJitter*(m.random-0.5), r.pollInterval(of)))
+	e.failed = time.Time{}
+	e.confirmLocked(of, asOf)
+}
+
+// Age returns the time since the store last confirmed the resource; false if it never has.
+func (e *Election) Age(of carawayspread.Resource) (time.Duration, bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	confirmed := e.resources[of].confirmed
+	return max(0, e.clock.Now().Sub(confirmed)), !confirmed.IsZero()
+}
+
+// Stale reports whether the resource was confirmed too long ago, or never.
+func (e *Election) Stale(of carawayspread.Resource) bool {
+	age, ever := e.Age(of)
+	return !ever || age > e.maxAge(of)
+}
+
+// NextCallIn returns the time until this process is to call the store by itself; zero if the
+// call is due.
+func (e *Election) NextCallIn(of carawayspread.Resource) time.Duration {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	now := e.clock.Now()
+	m := e.resources[of]
+	due := m.confirmed.Add(scale(1-takeoverJitter*m.random, e.maxAge(of)))
+	if e.isReaderLocked(now) {
+		due = later(m.called, m.confirmed).Add(scale(1+pollJitter*(m.random-0.5), e.pollInterval(of)))
 	}
 	if m.failed {
-		if again := m.called.Add(scale(1+retryJitter*(m.random-0.5), r.retryIntervalLocked())); again.After(due) {
+		if again := m.called.Add(scale(1+retryJitter*(m.random-0.5), e.retryIntervalLocked())); again.After(due) {
 			due = again
 		}
 	}
 	return max(0, due.Sub(now))
 }
 
-// Wait returns the timeout of a reader's watch for changes of routes.
-func (r *Rota) Wait() time.Duration { return scale(watchFraction, r.terms.InForce) }
+// WatchTimeout returns the timeout of a reader's watch for changes of routes.
+func (e *Election) WatchTimeout() time.Duration { return scale(watchFraction, e.bounds.ConfigApply) }
 
-func (r *Rota) retryIntervalLocked() time.Duration {
-	n := time.Duration(len(r.members) + 1)
+func (e *Election) retryIntervalLocked() time.Duration {
+	n := time.Duration(len(e.members) + 1)
 	return max(n*retryPerProcess, min(n*minRetryInterval, maxRetryInterval))
 }
 
 // pollInterval returns the mean time between a reader's calls; zero for routes, which are
 // watched continuously.
-func (r *Rota) pollInterval(of carawayspread.Resource) time.Duration {
+func (e *Election) pollInterval(of carawayspread.Resource) time.Duration {
 	if of == carawayspread.ResourceRoutes {
 		return 0
 	}
-	return scale(pollFraction, r.terms.Leaving)
+	return scale(pollFraction, e.bounds.Drain)
 }
 
-// maxAge returns the age beyond which the matter is stale; a process that is not the reader
+// maxAge returns the age beyond which the resource is stale; a process that is not the reader
 // reads by itself before that.
-func (r *Rota) maxAge(of carawayspread.Resource) time.Duration {
+func (e *Election) maxAge(of carawayspread.Resource) time.Duration {
 	if of == carawayspread.ResourceRoutes {
-		return scale(watchMaxAgeFraction, r.terms.InForce)
+		return scale(watchMaxAgeFraction, e.bounds.ConfigApply)
 	}
-	return scale(maxAgeFraction, r.terms.Leaving)
+	return scale(maxAgeFraction, e.bounds.Drain)
 }
 
 func later(a, b time.Time) time.Time {
--- a/internal/decision/readers/rota_test.go
+++ b/internal/decision/readers/rota_test.go
@@ -11,7 +11,7 @@
 	"carawayspread"
 )
 
-var terms = Terms{Leaving: 4 * time.Second, InForce: 4 * time.Second}
+var bounds = Bounds{Drain: 4 * time.Second, ConfigApply: 4 * time.Second}
 
 // The reader of a zone is the process with the largest capacity among those that are live and
 // that the store answers; with equal capacities the one with the smaller identifier.
@@ -34,10 +34,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
-			r := New(7, "z", 5, terms, clock)
-			r.Heard(c.id, c.peer)
+			e := New(7, "z", 5, bounds, clock)
+			e.ObservePeer(c.id, c.peer)
 			clock.Advance(c.after)
-			qt.Check(t, r.Reads(), qt.Equals, c.reads)
+			qt.Check(t, e.IsReader(), qt.Equals, c.reads)
 		})
 	}
 }
@@ -58,15 +58,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
-			r := New(7, "z", 5, terms, clock)
-			qt.Check(t, r.Due(carawayspread.ResourceEndpoints), qt.Equals, time.Duration(0))
+			e := New(7, "z", 5, bounds, clock)
+			qt.Check(t, e.NextCallIn(carawayspread.ResourceEndpoints), qt.Equals, time.Duration(0))
 			if c.otherReader {
-				r.Heard(1, larger)
+				e.ObservePeer(1, larger)
 			}
-			r.Called(carawayspread.ResourceEndpoints, clock.Now(), clock.Now(), c.err)
-			due := r.Due(carawayspread.ResourceEndpoints)
+			e.RecordCall(carawayspread.ResourceEndpoints, clock.Now(), clock.Now(), c.err)
+			due := e.NextCallIn(carawayspread.ResourceEndpoints)
 			qt.Check(t, due >= c.least && due <= c.most, qt.IsTrue, qt.Commentf("%v", due))
-			qt.Check(t, r.Stale(carawayspread.ResourceEndpoints), qt.Equals, c.err != nil)
+			qt.Check(t, e.Stale(carawayspread.ResourceEndpoints), qt.Equals, c.err != nil)
 		})
 	}
 }
--- a/internal/decision/truetime/truetime.go
+++ b/internal/decision/truetime/truetime.go
@@ -43,8 +43,8 @@
 	return time.Duration(c.clock.Now().UnixNano()) - store, known
 }
 
-// Heard records the epoch that a peer reports; zero, for none, is ignored.
-func (c *Clock) Heard(peer uint64, epoch time.Duration) {
+// ObservePeer records the epoch that a peer reports; zero, for none, is ignored.
+func (c *Clock) ObservePeer(peer uint64, epoch time.Duration) {
 	if epoch == 0 {
 		return
 	}
--- a/internal/decision/truetime/truetime_test.go
+++ b/internal/decision/truetime/truetime_test.go
@@ -16,7 +16,7 @@
 	clock := clockwork.NewFakeClockAt(time.Unix(0, 0).Add(epoch + time.Hour))
 	c := New(clock, func() (time.Duration, bool) { return time.Hour, true })
 	for peer, off := range []time.Duration{0, 1, 2, 3 * time.Second, -5 * time.Second} {
-		c.Heard(uint64(peer), epoch+off)
+		c.ObservePeer(uint64(peer), epoch+off)
 	}
 	before, known := c.Now()
 	qt.Assert(t, known, qt.IsTrue)
@@ -29,7 +29,7 @@
 func TestWithoutPeersOwnClockCounts(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(time.Unix(0, 0).Add(epoch + time.Hour))
 	c := New(clock, func() (time.Duration, bool) { return time.Hour, true })
-	c.Heard(1, epoch+time.Minute)
+	c.ObservePeer(1, epoch+time.Minute)
 	clock.Advance(offsetTTL + 1)
 	now, _ := c.Now()
 	qt.Check(t, now, qt.Equals, epoch+time.Hour+offsetTTL+1)
--- a/internal/process/follower/evidence.go
+++ b/internal/process/follower/evidence.go
@@ -83,7 +83,7 @@
 // is asked after the call to Refresh: one that was under way says nothing of what was
 // accepted since. Where the store did not answer a moment ago, none is asked.
 func (f *Follower) Refresh(ctx context.Context) error {
-	if !f.rota.Able() {
+	if !f.rota.CanRead() {
 		return carawayspread.ErrUnavailable
 	}
 	r := &f.refresh
--- a/internal/process/follower/follower.go
+++ b/internal/process/follower/follower.go
@@ -61,7 +61,7 @@
 // Follower is one process's side. Its Run functions are called once each.
 type Follower struct {
 	source   Source
-	rota     *readers.Rota
+	rota     *readers.Election
 	zone     string
 	capacity uint32
 	announce func() // tells the peers of the zone how this process stands
@@ -78,7 +78,7 @@
 
 // New returns a follower of the source. The store's clock bounds the age of what it
 // holds.
-func New(source Source, rota *readers.Rota, zone string, capacity uint32, announce func(), clock carawayspread.Clock, store StoreClock) *Follower {
+func New(source Source, rota *readers.Election, zone string, capacity uint32, announce func(), clock carawayspread.Clock, store StoreClock) *Follower {
 	f := &Follower{
 		source: source, rota: rota, zone: zone, capacity: capacity, announce: announce, clock: clock, store: store,
 	}
@@ -112,7 +112,7 @@
 
 // Presence returns what this process says of itself.
 func (f *Follower) Presence() carawayspread.PeerStatus {
-	s := carawayspread.PeerStatus{Zone: f.zone, Capacity: f.capacity, CanReadStore: f.rota.Able()}
+	s := carawayspread.PeerStatus{Zone: f.zone, Capacity: f.capacity, CanReadStore: f.rota.CanRead()}
 	for of := range carawayspread.ResourceCount {
 		age, ever := f.rota.Age(of)
 		if !ever {
@@ -145,7 +145,7 @@
 // call to the store, since this process reads for itself when nothing else is newer,
 // and moves nothing back.
 func (f *Follower) Heard(id uint64, peer string, s carawayspread.PeerStatus) {
-	f.rota.Heard(id, s)
+	f.rota.ObservePeer(id, s)
 	now := f.clock.Now()
 	for of := range carawayspread.ResourceCount {
 		c := claim{of: of, peer: peer, at: now, claim: s.Resources[of]}
@@ -202,7 +202,7 @@
 	if c.claim.Version <= have {
 		return false
 	}
-	return f.rota.Stale(c.of) || zone == f.zone && !f.rota.Reads() || c.of == carawayspread.ResourceRoutes && have > 0
+	return f.rota.Stale(c.of) || zone == f.zone && !f.rota.IsReader() || c.of == carawayspread.ResourceRoutes && have > 0
 }
 
 func (f *Follower) moved(of carawayspread.Resource) {
@@ -267,22 +267,22 @@
 func (f *Follower) RunRoutes(ctx context.Context) error {
 	return f.run(ctx, carawayspread.ResourceRoutes, func() {
 		begun := f.clock.Now()
-		if !f.rota.Reads() {
+		if !f.rota.IsReader() {
 			f.called(carawayspread.ResourceRoutes, begun, begun, f.source.Read(ctx, carawayspread.ResourceRoutes))
 			return
 		}
-		err := f.source.Watch(ctx, f.rota.Wait())
+		err := f.source.Watch(ctx, f.rota.WatchTimeout())
 		f.called(carawayspread.ResourceRoutes, begun, f.clock.Now(), err)
 	})
 }
 
 // called takes note of a call, and tells the zone what it brought.
 func (f *Follower) called(of carawayspread.Resource, begun, asOf time.Time, err error) {
-	f.rota.Called(of, begun, asOf, err)
+	f.rota.RecordCall(of, begun, asOf, err)
 	if err != nil {
 		return
 	}
-	if f.rota.Reads() {
+	if f.rota.IsReader() {
 		f.announce()
 	}
 }
@@ -290,7 +290,7 @@
 // run makes the call each time that it is due.
 func (f *Follower) run(ctx context.Context, of carawayspread.Resource, call func()) error {
 	for ctx.Err() == nil {
-		wait := f.rota.Due(of)
+		wait := f.rota.NextCallIn(of)
 		if wait <= 0 {
 			call()
 			continue
--- a/internal/process/follower/follower_test.go
+++ b/internal/process/follower/follower_test.go
@@ -26,7 +26,7 @@
 )
 
 var (
-	terms    = readers.Terms{Leaving: leaving, InForce: inForce}
+	terms    = readers.Bounds{Drain: leaving, ConfigApply: inForce}
 	errStore = errors.New("the store does not answer")
 )
 
@@ -64,7 +64,7 @@
 	zone     string
 	largest  bool // of its zone
 	follower *Follower
-	rota     *readers.Rota
+	rota     *readers.Election
 	uptime   standing
 	clock    *storetime.Clock
 
@@ -355,7 +355,7 @@
 	readersOf := func(w *world) []*node {
 		var of []*node
 		for _, n := range w.nodes {
-			if n.rota.Reads() {
+			if n.rota.IsReader() {
 				of = append(of, n)
 			}
 		}
--- a/internal/version/gatewaysettings/settings.go
+++ b/internal/version/gatewaysettings/settings.go
@@ -33,7 +33,7 @@
 	budget    fleetbudget.Limits
 	placement string
 	roles     string
-	terms     readers.Terms
+	terms     readers.Bounds
 	revoked   time.Duration // zero where nothing is promised
 	cores     float64
 	link      float64 // megabits a second
@@ -88,7 +88,7 @@
 func Parse(name string, body []byte) (*Settings, error) {
 	s := &Settings{
 		digest: digest(body), placement: "estimate", roles: RolesBalanced, cores: usualCores, link: usualLink,
-		terms: readers.Terms{Leaving: usualTerm, InForce: usualTerm},
+		terms: readers.Bounds{Drain: usualTerm, ConfigApply: usualTerm},
 	}
 	root := document.Parse(name, body).Object("instance", "addresses", "store", "seeds", "grace", "memoryMegabytes", "retries", "placement", "rolePolicy", "promises", "limits", "usage")
 	instance := root.Need("instance").Object("id", "zone")
@@ -143,8 +143,8 @@
 		return
 	}
 	promises := root.Field("promises").Object("leaving", "inForce", "revoked")
-	s.terms.Leaving = promises.Need("leaving").Duration(leastTerm, maxTerm)
-	s.terms.InForce = promises.Need("inForce").Duration(leastTerm, maxTerm)
+	s.terms.Drain = promises.Need("leaving").Duration(leastTerm, maxTerm)
+	s.terms.ConfigApply = promises.Need("inForce").Duration(leastTerm, maxTerm)
 	if revoked := promises.Field("revoked"); revoked.Exists() {
 		s.revoked = revoked.Duration(leastTerm, maxTerm)
 	}
@@ -177,7 +177,7 @@
 func (s *Settings) Usage() *Usage { return s.usage }
 
 // Terms returns what operators are promised.
-func (s *Settings) Terms() readers.Terms { return s.terms }
+func (s *Settings) Terms() readers.Bounds { return s.terms }
 
 // Revoked returns the time in which a revoked API key must have stopped everywhere;
 // zero where none is promised.
--- a/internal/version/gatewaysettings/settings_test.go
+++ b/internal/version/gatewaysettings/settings_test.go
@@ -25,13 +25,13 @@
 	qt.Check(t, s.Memory(), qt.Equals, int64(284<<20))
 	qt.Check(t, s.Budget().Ratio, qt.Equals, 0.2)
 	qt.Check(t, s.Placement(), qt.Equals, "estimate")
-	qt.Check(t, s.Terms().Leaving, qt.Equals, 2*time.Second)
+	qt.Check(t, s.Terms().Drain, qt.Equals, 2*time.Second)
 
 	s, err = Parse("gateway.jsonc", []byte(strings.Replace(good, `"store"`,
 		`"limits": {"cores": 0.144, "linkMegabits": 20.0}, "promises": {"leaving": "4000ms", "inForce": "3s"}, "store"`, 1)))
 	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, s.Terms().Leaving, qt.Equals, 4*time.Second)
-	qt.Check(t, s.Terms().InForce, qt.Equals, 3*time.Second)
+	qt.Check(t, s.Terms().Drain, qt.Equals, 4*time.Second)
+	qt.Check(t, s.Terms().ConfigApply, qt.Equals, 3*time.Second)
 	qt.Check(t, s.Capacity(), qt.Equals, uint32(2880))
 }
 
