--- a/cmd/gateway/configuration_test.go
+++ b/cmd/gateway/configuration_test.go
@@ -20,7 +20,7 @@
 	"carawayspread/internal/connection/knowledge"
 	"carawayspread/internal/connection/storetime"
 	"carawayspread/internal/connection/uptime"
-	"carawayspread/internal/decision/readers"
+	"carawayspread/internal/decision/zonereader"
 	"carawayspread/internal/process/follower"
 	"carawayspread/internal/soak/relay"
 	"carawayspread/internal/standin/rows"
@@ -204,8 +204,8 @@
 	server := httptest.NewServer(store)
 	t.Cleanup(server.Close)
 	from, to := newPeer(t, strings.TrimPrefix(server.URL, "http://")), newPeer(t, "127.0.0.1:1")
-	clock, terms := carawayspread.SystemClock(), readers.Terms{Leaving: inForce, InForce: inForce}
-	rota := readers.New(2, "z", 1, terms, clock)
+	clock, terms := carawayspread.SystemClock(), zonereader.Bounds{Drain: inForce, ConfigApply: inForce}
+	rota := zonereader.New(2, "z", 1, terms, clock)
 	f := follower.New(to, rota, "z", 1, func() {}, clock, storetime.New(uptime.Clock{}))
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
--- a/internal/daemon/gatewayd/daemon.go
+++ b/internal/daemon/gatewayd/daemon.go
@@ -24,8 +24,8 @@
 	"carawayspread/internal/connection/storetime"
 	"carawayspread/internal/controller/rolekeeper"
 	"carawayspread/internal/daemon/server"
-	"carawayspread/internal/decision/readers"
-	"carawayspread/internal/decision/truetime"
+	"carawayspread/internal/decision/clocksync"
+	"carawayspread/internal/decision/zonereader"
 	"carawayspread/internal/process/decisionlog"
 	"carawayspread/internal/process/follower"
 	"carawayspread/internal/process/gateway"
@@ -73,11 +73,11 @@
 	gateway  *gateway.Gateway
 	peers    *peers.Socket
 	placer   carawayspread.Placer
-	rota     *readers.Election
+	rota     *zonereader.Election
 	follower *follower.Follower
 	learner  *knowledge.Learner
 	keeper   *rolekeeper.Keeper // nil where no role changes
-	trueTime *truetime.Clock
+	trueTime *clocksync.Clock
 	usage    *usageDuty // nil where no usage is reported
 	listed   atomic.Bool
 	leaving  atomic.Bool
@@ -110,7 +110,7 @@
 	if !known {
 		d.log.WithField("placement", s.Placement()).Warn("unknown placement, the default is used")
 	}
-	d.trueTime = truetime.New(clock, ports.StoreTime.Now)
+	d.trueTime = clocksync.New(clock, ports.StoreTime.Now)
 	d.placer = newPlacer(carawayspread.Environment{
 		Clock: clock, Zone: s.Zone(), Broadcast: d.peers.Tell,
 		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
@@ -140,7 +140,7 @@
 // follow prepares the learning of routes and endpoints.
 func (d *Daemon) follow(ports Ports) {
 	s := d.settings
-	d.rota = readers.New(d.peers.ID(), s.Zone(), s.Capacity(), s.Terms(), d.clock)
+	d.rota = zonereader.New(d.peers.ID(), s.Zone(), s.Capacity(), s.Terms(), d.clock)
 	d.follower = follower.New(ports.Source(d), d.rota, s.Zone(), s.Capacity(), d.peers.Announce, d.clock, ports.StoreTime)
 	d.peers.Present(d.presence)
 	d.learner = knowledge.New(d.follower, d.peers.Known, d.clock, d.log, d.gateway.Metrics(),
--- a/internal/decision/truetime/truetime.go
+++ b/internal/decision/clocksync/clock.go
@@ -1,9 +1,9 @@
-// Package truetime synchronizes the time of day among peers whose wall clocks differ.
+// Package clocksync synchronizes the time of day among peers whose wall clocks differ.
 //
 // The wall clocks of some instances jump by seconds, and back. Each process measures the
 // offset between its wall clock and the monotonic clock of the platform's store; the median
 // of these offsets does not follow a minority that jumps.
-package truetime
+package clocksync
 
 import (
 	"slices"
--- a/internal/decision/truetime/truetime_test.go
+++ b/internal/decision/clocksync/clock_test.go
@@ -1,4 +1,4 @@
-package truetime
+package clocksync
 
 import (
 	"testing"
--- a/internal/decision/readers/rota.go
+++ b/internal/decision/zonereader/election.go
@@ -1,4 +1,4 @@
-// Package readers elects the process of each availability zone that reads the platform's
+// Package zonereader elects the process of each availability zone that reads the platform's
 // store for the others, and decides when a process reads for itself.
 //
 // Hundreds of processes follow the same few rows. Without the election each of them would
@@ -12,7 +12,7 @@
 // learn by gossip, from the readers and from each other, when the store last confirmed what
 // they hold. A wrong or outdated view of the reader costs calls to the store and nothing
 // else: a process that has learnt of no confirmation for too long reads for itself.
-package readers
+package zonereader
 
 import (
 	"math/rand/v2"
@@ -69,7 +69,7 @@
 	lastSeen time.Time // of its last heartbeat
 }
 
-// resourceState is how this process stands with one resourceState.
+// resourceState is what this process knows of the age of one resource.
 type resourceState struct {
 	confirmed time.Time // when the store last confirmed it, as far as is known; zero for never
 	called    time.Time // start of this process's last call, or its end if it failed
--- a/internal/decision/readers/rota_test.go
+++ b/internal/decision/zonereader/election_test.go
@@ -1,4 +1,4 @@
-package readers
+package zonereader
 
 import (
 	"errors"
--- a/internal/process/follower/follower.go
+++ b/internal/process/follower/follower.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"carawayspread"
-	"carawayspread/internal/decision/readers"
+	"carawayspread/internal/decision/zonereader"
 )
 
 // Source reads the platform's store and keeps the newest of what it read or was
@@ -61,7 +61,7 @@
 // Follower is one process's side. Its Run functions are called once each.
 type Follower struct {
 	source   Source
-	rota     *readers.Election
+	rota     *zonereader.Election
 	zone     string
 	capacity uint32
 	announce func() // tells the peers of the zone how this process stands
@@ -78,7 +78,7 @@
 
 // New returns a follower of the source. The store's clock bounds the age of what it
 // holds.
-func New(source Source, rota *readers.Election, zone string, capacity uint32, announce func(), clock carawayspread.Clock, store StoreClock) *Follower {
+func New(source Source, rota *zonereader.Election, zone string, capacity uint32, announce func(), clock carawayspread.Clock, store StoreClock) *Follower {
 	f := &Follower{
 		source: source, rota: rota, zone: zone, capacity: capacity, announce: announce, clock: clock, store: store,
 	}
--- a/internal/process/follower/follower_test.go
+++ b/internal/process/follower/follower_test.go
@@ -13,7 +13,7 @@
 
 	"carawayspread"
 	"carawayspread/internal/connection/storetime"
-	"carawayspread/internal/decision/readers"
+	"carawayspread/internal/decision/zonereader"
 )
 
 const (
@@ -26,7 +26,7 @@
 )
 
 var (
-	terms    = readers.Bounds{Drain: leaving, ConfigApply: inForce}
+	terms    = zonereader.Bounds{Drain: leaving, ConfigApply: inForce}
 	errStore = errors.New("the store does not answer")
 )
 
@@ -64,7 +64,7 @@
 	zone     string
 	largest  bool // of its zone
 	follower *Follower
-	rota     *readers.Election
+	rota     *zonereader.Election
 	uptime   standing
 	clock    *storetime.Clock
 
@@ -247,7 +247,7 @@
 	n := &node{w: w, id: id, zone: zone, largest: largest}
 	n.uptime = standing{time.Now().Add(-time.Duration(id) * time.Hour)}
 	n.clock = storetime.New(n.uptime)
-	n.rota = readers.New(id, zone, capacity, terms, carawayspread.SystemClock())
+	n.rota = zonereader.New(id, zone, capacity, terms, carawayspread.SystemClock())
 	n.follower = New(n, n.rota, zone, capacity, func() { n.say(n.follower.Presence(), true) }, carawayspread.SystemClock(), n.clock)
 	return n
 }
--- a/internal/version/gatewaysettings/settings.go
+++ b/internal/version/gatewaysettings/settings.go
@@ -13,7 +13,7 @@
 
 	"carawayspread"
 	"carawayspread/internal/decision/fleetbudget"
-	"carawayspread/internal/decision/readers"
+	"carawayspread/internal/decision/zonereader"
 	"carawayspread/internal/version/document"
 )
 
@@ -33,7 +33,7 @@
 	budget    fleetbudget.Limits
 	placement string
 	roles     string
-	terms     readers.Bounds
+	terms     zonereader.Bounds
 	revoked   time.Duration // zero where nothing is promised
 	cores     float64
 	link      float64 // megabits a second
@@ -88,7 +88,7 @@
 func Parse(name string, body []byte) (*Settings, error) {
 	s := &Settings{
 		digest: digest(body), placement: "estimate", roles: RolesBalanced, cores: usualCores, link: usualLink,
-		terms: readers.Bounds{Drain: usualTerm, ConfigApply: usualTerm},
+		terms: zonereader.Bounds{Drain: usualTerm, ConfigApply: usualTerm},
 	}
 	root := document.Parse(name, body).Object("instance", "addresses", "store", "seeds", "grace", "memoryMegabytes", "retries", "placement", "rolePolicy", "promises", "limits", "usage")
 	instance := root.Need("instance").Object("id", "zone")
@@ -177,7 +177,7 @@
 func (s *Settings) Usage() *Usage { return s.usage }
 
 // Terms returns what operators are promised.
-func (s *Settings) Terms() readers.Bounds { return s.terms }
+func (s *Settings) Terms() zonereader.Bounds { return s.terms }
 
 // Revoked returns the time in which a revoked API key must have stopped everywhere;
 // zero where none is promised.
--- a/layers_test.go
+++ b/layers_test.go
@@ -123,7 +123,7 @@
 		"the soak and processes":       {"internal/soak/program", "os/exec", ""},
 		"a ready-made proxy":           {"internal/soak/relay", "net/http/httputil", "internal/soak/relay takes a ready-made proxy"},
 		"an area that nobody has said": {"internal/other/one", "time", "internal/other/one belongs to no area"},
-		"a decision and a decision":    {"internal/decision/placement", module + "/internal/decision/readers", ""},
+		"a decision and a decision":    {"internal/decision/placement", module + "/internal/decision/zonereader", ""},
 		"a decision and the root":      {"internal/decision/placement", module, ""},
 		"a decision and a library":     {"internal/decision/placement", "math/rand/v2", ""},
 		"a daemon and a process":       {"internal/daemon/gatewayd", module + "/internal/process/gateway", ""},
