--- a/internal/decision/backpressure/backpressure.go
+++ b/internal/decision/backpressure/backpressure.go
@@ -53,7 +53,9 @@
 type Backpressure struct {
 	clock      carawayspread.Clock
 	membership Membership
-	active     atomic.Bool // states is not empty; lets requests skip the lock while no endpoint gives feedback
+	// active is set while states is not empty; requests skip the lock while no endpoint has
+	// given feedback.
+	active atomic.Bool
 
 	mu      sync.Mutex
 	states  map[carawayspread.EndpointID]*state
