--- a/internal/decision/placement/cost_test.go
+++ b/internal/decision/placement/cost_test.go
@@ -11,8 +11,8 @@
 	"carawayspread"
 )
 
-// fleetOf returns a placer that has heard from many peers about as many engines, a
-// third of them readers.
+// fleetOf returns a placer that has received load updates from many peers about as many engines, a
+// third of them prefill engines.
 func fleetOf(engines, peers int) (*Placer, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	p := New(carawayspread.Environment{Clock: clock, Zone: "z0", Rand: rand.New(rand.NewPCG(1, 2))})
@@ -27,16 +27,16 @@
 	}
 	p.SetEndpoints("s", all)
 	for peer := range peers {
-		var notices []carawayspread.LoadUpdate
+		var updates []carawayspread.LoadUpdate
 		for n := range 5 {
-			notices = append(notices, carawayspread.LoadUpdate{EndpointHash: hashOf(all[(peer*5+n)%engines].ID()), Running: 1, Tokens: 4000})
+			updates = append(updates, carawayspread.LoadUpdate{EndpointHash: hashOf(all[(peer*5+n)%engines].ID()), Running: 1, Tokens: 4000})
 		}
-		p.ApplyLoadUpdates(fmt.Sprint(peer), notices)
+		p.ApplyLoadUpdates(fmt.Sprint(peer), updates)
 	}
 	return p, clock
 }
 
-func someRequest(n int) carawayspread.PlacementRequest {
+func testRequest(n int) carawayspread.PlacementRequest {
 	prompt := &carawayspread.Prompt{Tokens: 12000, MaxOutputTokens: 38, Parts: []carawayspread.PromptPart{
 		{ID: uint64(n % 3), Tokens: 512}, {ID: uint64(100 + n%274), Tokens: 4870}, {ID: uint64(1000 + n), Tokens: 6618},
 	}}
@@ -47,20 +47,20 @@
 	}
 }
 
-// BenchmarkPlace is a placement of a prompt and what follows it, with beginnings
+// BenchmarkPlace measures the placement of a prompt and the calls that follow it, with prefixes
 // that some engines hold.
 func BenchmarkPlace(b *testing.B) {
 	for _, engines := range []int{12, 117, 1300} {
 		b.Run(fmt.Sprint(engines, " engines"), func(b *testing.B) {
 			p, clock := fleetOf(engines, 68)
 			for n := 0; b.Loop(); n++ {
-				req := someRequest(n)
+				req := testRequest(n)
 				req.Arrived, req.Deadline = clock.Now(), clock.Now().Add(8*time.Second)
 				at, err := p.Place(req)
 				if err == nil {
-					stay := p.Sent(req, at)
-					stay.Answered()
-					stay.End(carawayspread.OutcomeServed)
+					tracker := p.Sent(req, at)
+					tracker.Answered()
+					tracker.End(carawayspread.OutcomeServed)
 				}
 				clock.Advance(5 * time.Millisecond)
 			}
