--- a/internal/version/gatewaysettings/settings.go
+++ b/internal/version/gatewaysettings/settings.go
@@ -13,7 +13,7 @@
 
 	"carawayspread"
 	"carawayspread/internal/decision/fleetbudget"
-	"carawayspread/internal/decision/readers"
+	"carawayspread/internal/decision/zonereader"
 	"carawayspread/internal/version/document"
 )
 
@@ -30,10 +30,10 @@
 	store     string
 	grace     time.Duration
 	memory    int64
-	budget    fleetbudget.Terms
+	budget    fleetbudget.Limits
 	placement string
 	roles     string
-	terms     readers.Terms
+	terms     zonereader.Bounds
 	revoked   time.Duration // zero where nothing is promised
 	cores     float64
 	link      float64 // megabits a second
@@ -88,7 +88,7 @@
 func Parse(name string, body []byte) (*Settings, error) {
 	s := &Settings{
 		digest: digest(body), placement: "estimate", roles: RolesBalanced, cores: usualCores, link: usualLink,
-		terms: readers.Terms{Leaving: usualTerm, InForce: usualTerm},
+		terms: zonereader.Bounds{Drain: usualTerm, ConfigApply: usualTerm},
 	}
 	root := document.Parse(name, body).Object("instance", "addresses", "store", "seeds", "grace", "memoryMegabytes", "retries", "placement", "rolePolicy", "promises", "limits", "usage")
 	instance := root.Need("instance").Object("id", "zone")
@@ -143,8 +143,8 @@
 		return
 	}
 	promises := root.Field("promises").Object("leaving", "inForce", "revoked")
-	s.terms.Leaving = promises.Need("leaving").Duration(leastTerm, maxTerm)
-	s.terms.InForce = promises.Need("inForce").Duration(leastTerm, maxTerm)
+	s.terms.Drain = promises.Need("leaving").Duration(leastTerm, maxTerm)
+	s.terms.ConfigApply = promises.Need("inForce").Duration(leastTerm, maxTerm)
 	if revoked := promises.Field("revoked"); revoked.Exists() {
 		s.revoked = revoked.Duration(leastTerm, maxTerm)
 	}
@@ -177,7 +177,7 @@
 func (s *Settings) Usage() *Usage { return s.usage }
 
 // Terms returns what operators are promised.
-func (s *Settings) Terms() readers.Terms { return s.terms }
+func (s *Settings) Terms() zonereader.Bounds { return s.terms }
 
 // Revoked returns the time in which a revoked API key must have stopped everywhere;
 // zero where none is promised.
@@ -221,7 +221,7 @@
 func (s *Settings) Memory() int64 { return s.memory }
 
 // Budget returns what may be sent beyond first attempts.
-func (s *Settings) Budget() fleetbudget.Terms { return s.budget }
+func (s *Settings) Budget() fleetbudget.Limits { return s.budget }
 
 // RolePolicy returns the name of a registered role policy.
 func (s *Settings) RolePolicy() string { return s.roles }
