--- a/internal/process/ledger/claim.go
+++ b/internal/process/ledger/claim.go
@@ -12,8 +12,8 @@
 	"carawayspread/internal/process/entry"
 )
 
-// Claim is the right to run one request. Its methods return nil if the caller may be told the
-// outcome that was to be recorded, and otherwise the *carawayspread.Error to report instead.
+// Claim is the right to run one request. Its methods return nil if the outcome that was to be
+// recorded may be reported to the caller, and otherwise the *carawayspread.Error to report instead.
 type Claim struct {
 	ledger   *Ledger
 	key      carawayspread.Key
@@ -27,13 +27,13 @@
 
 // Done records the complete answer.
 //
-// If the store cannot be reached and the deadline is not near, no retry can have been told unknown
-// yet: the caller gets its answer, and the record is written later. After the deadline a retry may
-// have been told unknown, so the answer may not be delivered until the record has been read.
+// If the store cannot be reached and the deadline is not near, unknown cannot have been reported to
+// a retry yet: the caller gets its answer, and the record is written later. After the deadline
+// unknown may have been reported, so the answer may not be delivered until the record has been read.
 func (c *Claim) Done(ctx context.Context, answer entry.Stored) error {
 	outcome, err := c.ledger.storeAnswer(ctx, c, answer)
 	if err != nil {
-		// The answer cannot be stored. This caller still gets it; a retry is told unknown.
+		// The answer cannot be stored. This caller still gets it; a retry gets unknown.
 		outcome = record{State: unknown, Hash: c.hash}
 	}
 	known, err := c.writeOutcome(ctx, outcome)
--- a/internal/process/ledger/ledger_test.go
+++ b/internal/process/ledger/ledger_test.go
@@ -208,8 +208,8 @@
 }
 
 // The answer is complete while the table is down. Before the deadline of the claim the caller gets
-// it, and the record is written when the table is back. After the deadline a retry may have been
-// told unknown, so no final outcome may be reported.
+// it, and the record is written when the table is back. After the deadline unknown may have been
+// reported to a retry, so no final outcome may be reported.
 func TestAnswerCompleteWhileStoreIsDown(t *testing.T) {
 	tests := map[string]struct {
 		delay time.Duration
@@ -239,9 +239,9 @@
 	}
 }
 
-// A claimant is paused past its deadline, a retry is told unknown, and the claimant then resumes
-// with a complete answer. Guards against reporting that answer: its caller and all later retries
-// must be told unknown as well.
+// A claimant is paused past its deadline, a retry gets unknown, and the claimant then resumes with a
+// complete answer. Guards against reporting that answer: its caller and all later retries must get
+// unknown as well.
 func TestPausedClaimantReportsUnknown(t *testing.T) {
 	_, clock, newLedger := start(t)
 	claim, _, err := newLedger().Begin(t.Context(), request(t, "k", ""))
