--- a/internal/process/decisionlog/log.go
+++ b/internal/process/decisionlog/log.go
@@ -1,5 +1,4 @@
-// Package decisionlog writes a line for each decision without holding up the
-// request that it is about.
+// Package decisionlog writes one log line per decision without blocking the request.
 package decisionlog
 
 import (
@@ -12,26 +11,26 @@
 )
 
 const (
-	// waiting bounds the lines that are not written yet; at two thousand
-	// requests a second before 35 processes that is some ten seconds.
+	// queueSize bounds the lines that are not written yet. At two thousand requests a second
+	// over 35 processes these are about ten seconds' worth.
 	queueSize = 512
-	// maxLineBytes bounds a line in bytes; a longer one is cut.
+	// maxLineBytes bounds a line; a longer one is truncated.
 	maxLineBytes = 512
-	// maxValueBytes bounds one value that comes from outside.
+	// maxValueBytes bounds a text value, which may come from outside.
 	maxValueBytes = 64
 )
 
-// Log takes lines. It is safe for concurrent use.
+// Log queues lines and writes them in the background. It is safe for concurrent use.
 type Log struct {
 	w       io.Writer
 	queue   chan string
 	dropped atomic.Int64
 }
 
-// New returns a log that Run writes to w.
+// New returns a log whose lines Run writes to w.
 func New(w io.Writer) *Log { return &Log{w: w, queue: make(chan string, queueSize)} }
 
-// Run writes until ctx ends, and then what is left.
+// Run writes lines until ctx ends, then those that are still queued, and returns ctx.Err().
 func (l *Log) Run(ctx context.Context) error {
 	for {
 		select {
@@ -44,7 +43,7 @@
 	}
 }
 
-// Flush writes what is waiting.
+// Flush writes the queued lines.
 func (l *Log) Flush() {
 	for {
 		select {
@@ -57,16 +56,15 @@
 }
 
 func (l *Log) write(line string) {
-	// An error of the log's own output has nowhere to go.
+	// An error of the log's own output cannot be reported anywhere.
 	_, _ = io.WriteString(l.w, line)
 }
 
-// Dropped returns how many lines found no room.
+// Dropped returns the number of lines that were dropped because the queue was full.
 func (l *Log) Dropped() int64 { return l.dropped.Load() }
 
-// EventWriter returns a writer whose every write becomes one line of that event, cut
-// to the length of a value: what libraries print of their own may hold parts of
-// callers' answers.
+// EventWriter returns a writer that logs every write as one line of that event, truncated to
+// maxValueBytes: what libraries print may contain parts of callers' answers.
 func (l *Log) EventWriter(event string) io.Writer { return eventWriter{l, event} }
 
 type eventWriter struct {
@@ -79,10 +77,10 @@
 	return len(p), nil
 }
 
-// Line builds one line of key=value pairs.
+// Line builds one line of key=value pairs. Its methods return the line itself.
 type Line struct{ b strings.Builder }
 
-// Start returns a line about that event.
+// Start returns a line of that event.
 func Start(event string) *Line {
 	line := &Line{}
 	line.b.Grow(maxLineBytes / 2)
@@ -91,7 +89,7 @@
 	return line
 }
 
-// Text adds a value; what would break the line is replaced.
+// Text adds a value, truncated to maxValueBytes and quoted where needed. An empty one is left out.
 func (l *Line) Text(key, value string) *Line {
 	if value == "" {
 		return l
@@ -127,7 +125,7 @@
 	l.b.WriteByte('=')
 }
 
-// Write hands the line over; it is dropped and counted where there is no room.
+// Write queues the line. It never blocks: where the queue is full, the line is dropped and counted.
 func (l *Log) Write(line *Line) {
 	text := line.b.String()
 	if len(text) >= maxLineBytes {
--- a/internal/process/decisionlog/log_test.go
+++ b/internal/process/decisionlog/log_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A line is one line whatever a caller put into its values, and bounded.
+// Guards against values from callers that break a log line in two or make it arbitrarily long.
 func TestLineIsEscapedAndBounded(t *testing.T) {
 	var b strings.Builder
 	l := New(&b)
@@ -22,8 +22,8 @@
 	qt.Check(t, b.String(), qt.Not(qt.Contains), "none=")
 }
 
-// Operators find what a library prints among the other lines, and no caller's
-// answer in it.
+// Guards against library output that is missing from the log, or that leaks parts of callers'
+// answers into it.
 func TestLibraryOutputIsTruncated(t *testing.T) {
 	var out strings.Builder
 	l := New(&out)
@@ -36,8 +36,8 @@
 	qt.Check(t, strings.Count(out.String(), "\n"), qt.Equals, 1)
 }
 
-// A request is not held up by an output that nobody reads: what finds no room
-// is counted and left out.
+// Guards against requests that block on a log output that nobody reads: lines beyond the queue must
+// be dropped and counted.
 func TestSlowOutputDoesNotBlockRequests(t *testing.T) {
 	var b strings.Builder
 	l := New(&b)
--- a/internal/process/gateway/authenticate.go
+++ b/internal/process/gateway/authenticate.go
@@ -11,35 +11,37 @@
 )
 
 const (
-	// refreshWait bounds how long a request waits for newer evidence: many times a
-	// good answer of the store, and less than most targets.
+	// refreshTimeout bounds how long a request waits for a newer configuration: many times the
+	// latency of a healthy store, and less than most latency targets.
 	refreshTimeout = 100 * time.Millisecond
-	// askAgain is when a caller may come back whose key could not be checked: a
-	// process asks the store for such requests once a second.
+	// refreshRetryDelay is the Retry-After for a caller whose key could not be checked. For such
+	// requests a process queries the store once a second.
 	refreshRetryDelay = time.Second
 )
 
-// alwaysCurrent is the evidence of a gateway whose routes are given, not followed.
+// alwaysCurrent is the freshness of a configuration that is given once and not followed.
 type alwaysCurrent struct{}
 
 func (alwaysCurrent) Age() (time.Duration, bool)    { return 0, true }
 func (alwaysCurrent) Refresh(context.Context) error { return nil }
 
-// WithConfigFreshness sets what bounds the age of the keys, the time in which a revoked key must
-// have stopped, zero where none is promised, and the time in which an added one must work.
+// WithConfigFreshness sets the source of the age of the configuration, the time after which a
+// revoked key must be refused (zero for no such guarantee), and the time after which an added key
+// must be accepted.
 func WithConfigFreshness(freshness carawayspread.ConfigFreshness, revoked, added time.Duration) Option {
 	return func(g *Gateway) {
 		g.freshness, g.keyPolicy = freshness, authentication.Policy{Revoked: revoked, Added: added}
 	}
 }
 
-// WithUsage is told of each request of a known workspace, once, when it is known to have
-// begun to run so long ago.
+// WithUsage sets the function that records usage. It is called once for each request of a known
+// workspace, when the request is known to have started running, with the time since then.
 func WithUsage(record func(workspace string, ago time.Duration)) Option {
 	return func(g *Gateway) { g.recordUsage = record }
 }
 
-// CanAuthenticate reports whether requests with an API key can be taken now, or need none.
+// CanAuthenticate reports whether API keys can be checked now. It is also true where no routes are
+// known, no route requires a key, or no time is guaranteed for revoked keys.
 func (g *Gateway) CanAuthenticate() bool {
 	routing := g.routing.Load()
 	if routing == nil || routing.Keyring() == nil || g.keyPolicy.Revoked <= 0 {
@@ -49,11 +51,12 @@
 	return known && age <= g.keyPolicy.Revoked
 }
 
-// admit finds the route of the request and the workspace of its API key. Where the
-// key is not known, or may have been revoked, the store is asked once.
+// routeAndAuthenticate finds the route of the request and the workspace of its API key. Where the
+// key is unknown or may have been revoked, it queries the store once for a newer configuration.
 func (c *call) routeAndAuthenticate() *carawayspread.Error {
 	for current := false; ; current = true {
-		// The keys are loaded after their age was bounded: newer ones are no older.
+		// The age is taken before the keys are loaded: keys of a newer configuration, which may
+		// arrive in between, are no older than that.
 		age, known := c.g.freshness.Age()
 		if err := c.findRoute(); err != nil {
 			return err
@@ -80,8 +83,7 @@
 	}
 }
 
-// credential returns the request's API key, and what is wrong with it where no
-// workspace holds it.
+// credential returns the request's API key, and the reason to record where it is rejected.
 func (c *call) credential() (token, cause string) {
 	token, err := bearer.Token(c.r.Header)
 	switch {
@@ -93,7 +95,8 @@
 	return token, "unknown"
 }
 
-// authenticate decides on the API key.
+// authenticate decides on the API key, and sets the workspace where the key is accepted.
+// Without a keyring, and on anonymous routes, every request is accepted.
 func (c *call) authenticate(q authentication.Query) authentication.Verdict {
 	if q.Keyring = c.routing.Keyring(); q.Keyring == nil {
 		return authentication.Accept
@@ -114,7 +117,8 @@
 	return carawayspread.NewError(carawayspread.CodeUnauthenticated, "no workspace holds the API key", carawayspread.NotRun())
 }
 
-// unproven refuses a request that may run elsewhere or later.
+// unproven returns the refusal of a request whose key cannot be checked now. The request may be
+// accepted by another process, or later.
 func (c *call) unproven(verdict authentication.Verdict, err error) *carawayspread.Error {
 	after, cause := refreshRetryDelay, "notAsked"
 	if verdict == authentication.Unproven {
--- a/internal/process/gateway/authenticate_test.go
+++ b/internal/process/gateway/authenticate_test.go
@@ -10,7 +10,8 @@
 	"carawayspread"
 )
 
-// refreshingConfig is evidence that becomes young as a newer configuration is taken.
+// refreshingConfig is a carawayspread.ConfigFreshness that adopts a newer configuration whenever
+// its age is read, and is then fresh.
 type refreshingConfig struct{ update func() }
 
 func (r refreshingConfig) Age() (time.Duration, bool) {
@@ -20,7 +21,7 @@
 
 func (refreshingConfig) Refresh(context.Context) error { return nil }
 
-// keyed returns routes that ask for one of the keys.
+// keyedRouting returns routes that require one of the keys.
 func keyedRouting(version carawayspread.Version, keys ...string) *carawayspread.Routing {
 	return carawayspread.NewRouting(version, []*carawayspread.Route{route("never", carawayspread.RetryNever, false, 1)},
 		map[string]carawayspread.RoutedService{"s": {Name: "s"}}, carawayspread.CallerLimits{BodyBytes: 100},
@@ -29,8 +30,8 @@
 		})))
 }
 
-// Guards against a revoked key that passes by the age of a configuration that came in
-// between, in which it is gone.
+// Guards against accepting a revoked key by the age of a newer configuration, which no longer
+// holds the key and was adopted between reading the keys and reading the age.
 func TestKeyIsCheckedAgainstTheRoutingOfTheCheckedAge(t *testing.T) {
 	b := newHarness(t)
 	b.gateway.Adopt(keyedRouting(2, "revoked"))
@@ -42,8 +43,8 @@
 	qt.Check(t, b.transport.all(), qt.HasLen, 0)
 }
 
-// Guards against routes without a key that ask for one, and against a workspace that is
-// taken from a key that nobody holds.
+// Guards against anonymous routes that require a key, and against a workspace that is derived from
+// a key that no workspace holds.
 func TestAnonymousRoute(t *testing.T) {
 	for name, key := range map[string]string{"no key": "", "unknown key": "Bearer nobody", "good key": "Bearer good"} {
 		t.Run(name, func(t *testing.T) {
@@ -73,7 +74,8 @@
 	}
 }
 
-// Guards against urgency that a route has and its caller's workspace does not.
+// Guards against requests that get the priority of their route although their workspace has
+// another one.
 func TestWorkspacePriorityOverridesRoutePriority(t *testing.T) {
 	b := newHarness(t)
 	b.gateway.Adopt(carawayspread.NewRouting(2, []*carawayspread.Route{route("never", carawayspread.RetryNever, false, 1)},
--- a/internal/process/gateway/call.go
+++ b/internal/process/gateway/call.go
@@ -15,16 +15,15 @@
 )
 
 const (
-	// answerLimit bounds a whole answer that is held in memory until it is
-	// complete, in bytes.
+	// maxAnswerBytes bounds an answer that is buffered in memory until it is complete.
 	maxAnswerBytes = 8 << 20
-	// mostSends bounds the loop of one request, whatever is allowed otherwise.
+	// maxSends bounds the attempts of one request, whatever its route and the retry budget allow.
 	maxSends = 6
-	// forgetTimeout bounds the call that frees a KV cache.
+	// releaseTimeout bounds the call that frees a KV cache.
 	releaseTimeout = time.Second
 )
 
-// call is one request of a caller.
+// call is the state of one caller's request.
 type call struct {
 	g           *Gateway
 	w           http.ResponseWriter
@@ -35,37 +34,37 @@
 	metadata    carawayspread.RequestMetadata
 	routing     *carawayspread.Routing
 	route       *carawayspread.Route
-	workspace   carawayspread.Workspace // of the API key; zero where it is not known
+	workspace   carawayspread.Workspace // of the API key; zero where unknown
 	service     carawayspread.RoutedService
 	body        []byte
 	fingerprint uint64
-	connBroken  bool // the caller's connection is of no more use
+	connBroken  bool // the connection to the caller cannot be used any more
 
 	exclude          map[carawayspread.EndpointID]bool
-	sends            int  // attempts that may have reached an endpoint and count against the budget
+	sends            int  // attempts that may have reached an endpoint; they count against the retry budget
 	ran              int  // attempts that may have run
-	retryReserved    bool // the next attempt has its place in the budget already
-	singleEndpoint   bool // no more handing over
-	started          bool // the header of the answer is out
-	status           int  // of the answer that was passed on
+	retryReserved    bool // the next attempt has been charged to the retry budget already
+	singleEndpoint   bool // one endpoint must do both prefill and decode
+	started          bool // the header of the answer has been sent to the caller
+	status           int  // of the answer that was relayed
 	lastEventID      string
-	usageCounted     bool                    // for the usage of its workspace
-	handover         *carawayspread.Handover // a KV cache that nobody has taken yet
+	usageCounted     bool                    // the request was recorded as usage of its workspace
+	handover         *carawayspread.Handover // a KV cache that no decode engine has taken yet
 	endpoint         carawayspread.EndpointID
 	prefillEndpoint  carawayspread.EndpointID
 	timeToFirstEvent time.Duration
-	lastEventAt      time.Time               // when the last event came; zero before the first
-	maxEventGap      time.Duration           // the longest between two events
-	firstPlacement   carawayspread.Placement // the first one, also where it was refused
-	prefillDuration  time.Duration           // what reading for another engine took
+	lastEventAt      time.Time               // zero before the first event
+	maxEventGap      time.Duration           // the longest gap between two events
+	firstPlacement   carawayspread.Placement // also set where the request was refused
+	prefillDuration  time.Duration           // time of the prefill on a separate engine
 }
 
-// errOwn says that the endpoint answered with a failure of its own and that the
-// request goes elsewhere instead of passing it on.
-var errServerError = errors.New("the endpoint failed by itself")
+// errServerError says that the endpoint answered with a server error, and that the request is
+// retried at another endpoint instead of relaying that answer.
+var errServerError = errors.New("the endpoint answered with a server error")
 
-// errBroken says that an attempt may have run and gave no whole answer.
-var errIncomplete = errors.New("the endpoint gave no whole answer")
+// errIncomplete says that an attempt may have run and returned no complete answer.
+var errIncomplete = errors.New("the endpoint returned no complete answer")
 
 func (c *call) serve() {
 	c.g.budget(c.service.Name).Took()
@@ -82,7 +81,7 @@
 	c.fail(ctx, err)
 }
 
-// run sends the request until it has an answer or may not be sent again.
+// run sends the request until it is answered or must not be retried.
 func (c *call) run(ctx context.Context) error {
 	for range maxSends {
 		if ctx.Err() != nil {
@@ -93,7 +92,7 @@
 			return err
 		}
 		if c.sends > 0 && !c.retryReserved && !c.g.budget(c.service.Name).Allow() {
-			return fmt.Errorf("no retry is left: %w", err)
+			return fmt.Errorf("the retry budget is exhausted: %w", err)
 		}
 		c.retryReserved = false
 	}
@@ -115,8 +114,7 @@
 	return p
 }
 
-// attempt sends the request once. It reports whether the request may be sent
-// again.
+// attempt sends the request once. It reports whether the request may be retried.
 func (c *call) attempt(ctx context.Context) (retry bool, err error) {
 	p, at, err := c.place()
 	if err != nil {
@@ -161,7 +159,7 @@
 		c.endpointAnswered(at, sentAt)
 	}
 	if phase == carawayspread.PhaseDecode {
-		c.handover, c.singleEndpoint = nil, true // a handle is taken once, whatever came of it
+		c.handover, c.singleEndpoint = nil, true // a handle is valid for one attempt, also a failed one
 	}
 	switch kind {
 	case carawayspread.ReplyNotRun, carawayspread.ReplyWrongEndpoint:
@@ -176,8 +174,8 @@
 		}
 		return true, overloaded()
 	case carawayspread.ReplyInconclusive:
-		// Not read to its end, so that the connection closes: on one that is kept,
-		// the answer to this request would meet the next one.
+		// The body is not read to its end, so that the connection is closed: on a reused
+		// connection the next request would receive the answer to this one.
 		_ = reply.Body.Close()
 		c.ran++
 		c.logAttempt(at, phase, "no answer to this request, status "+strconv.Itoa(reply.Status))
@@ -199,17 +197,16 @@
 		c.logAttempt(at, phase, err.Error())
 		return c.mayRetry(), err
 	}
-	// Failure: connections break under a request that many send, minutes apart.
-	// Symptom: all of them are refused for the term of a conviction. What crashes
-	// endpoints is never answered, so each answer clears it, at every process.
+	// Connections may break, minutes apart, under a request that many callers send; without this
+	// the request would be quarantined for all of them. A request that crashes endpoints is never
+	// answered, so each answer removes it from quarantine, in every process.
 	if c.g.quarantine.Served(c.fingerprint) {
 		c.g.reportAnswer(c.fingerprint)
 	}
 	return false, nil
 }
 
-// mayRepeat reports whether a request of which an attempt may have run can be
-// sent once more.
+// mayRetry reports whether the request can be retried after an attempt that may have run.
 func (c *call) mayRetry() bool {
 	if c.ran >= c.route.MaxAttempts {
 		return false
@@ -223,7 +220,7 @@
 	return false
 }
 
-// recordUnsent takes note of an endpoint that could not be reached.
+// recordUnsent excludes an endpoint that could not be reached, and returns the attempt's outcome.
 func (c *call) recordUnsent(ctx context.Context, at carawayspread.Placement) carawayspread.Outcome {
 	c.exclude[at.Endpoint.ID()] = true
 	if ctx.Err() != nil {
@@ -232,7 +229,9 @@
 	return carawayspread.OutcomeUnreachable
 }
 
-// broke takes note of an attempt that ended without an answer after it was sent.
+// recordFailure excludes the endpoint of an attempt that was sent and ended without an answer, and
+// returns the attempt's outcome. It counts as a crash of the endpoint with this request, unless the
+// attempt was ended here: for a stall, the deadline, shutdown, or because the caller left.
 func (c *call) recordFailure(ctx, attemptCtx context.Context, at carawayspread.Placement) carawayspread.Outcome {
 	c.exclude[at.Endpoint.ID()] = true
 	switch {
@@ -247,14 +246,15 @@
 	return carawayspread.OutcomeFailed
 }
 
-// alive clears requests that the endpoint did not crash with, as it answers.
+// endpointAnswered withdraws recent crashes of the endpoint where the answer shows that it kept
+// running, also at the peers.
 func (c *call) endpointAnswered(at carawayspread.Placement, sentAt time.Time) {
 	for _, fingerprint := range c.g.quarantine.Alive(at.Endpoint.ID(), sentAt) {
 		c.g.reportCrash(fingerprint, at.Endpoint.ID(), true)
 	}
 }
 
-// send builds what the endpoint gets.
+// send sends one attempt to its endpoint.
 func (c *call) send(ctx context.Context, at carawayspread.Placement, phase carawayspread.Phase) (*carawayspread.Reply, error) {
 	h := endToEnd(c.r.Header)
 	if c.routing.Keyring() != nil {
@@ -274,7 +274,7 @@
 	})
 }
 
-// whole passes an answer on once all of it is there.
+// relayBuffered relays an answer once it is complete.
 func (c *call) relayBuffered(reply *carawayspread.Reply, tracker carawayspread.AttemptTracker, sentAt time.Time) (carawayspread.Outcome, error) {
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxAnswerBytes))
 	_ = reply.Body.Close()
@@ -292,7 +292,7 @@
 		}
 	}
 	if c.started {
-		return carawayspread.OutcomeFailed, errIncomplete // no second answer inside a stream
+		return carawayspread.OutcomeFailed, errIncomplete // no second answer within a stream
 	}
 	c.started, c.status = true, reply.Status
 	c.timeToFirstEvent = c.g.clock.Now().Sub(c.arrived)
@@ -303,7 +303,7 @@
 	return outcome, nil
 }
 
-// began counts the request, once, as one that began to run so long ago.
+// countUsage records the request once as usage; it started running that long ago.
 func (c *call) countUsage(ago time.Duration) {
 	if c.usageCounted || c.workspace.Name() == "" {
 		return
@@ -312,7 +312,7 @@
 	c.g.recordUsage(c.workspace.Name(), ago)
 }
 
-// header sets the endpoint's end-to-end headers for the caller.
+// copyHeader copies the endpoint's end-to-end headers to the caller's answer.
 func (c *call) copyHeader(reply *carawayspread.Reply) {
 	h := c.w.Header()
 	for name, values := range endToEnd(reply.Header) {
@@ -320,18 +320,20 @@
 	}
 	for _, name := range []string{"Date", "Content-Type"} {
 		if _, ok := h[name]; !ok {
-			h[name] = nil // net/http would add its own
+			h[name] = nil // keeps net/http from adding its own
 		}
 	}
 	h.Del("Content-Length")
 	c.closeIfDraining()
 }
 
+// closeBody reads a short rest of the body, so that the connection can be reused, and closes it.
 func closeBody(reply *carawayspread.Reply) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(reply.Body, 4<<10))
 	_ = reply.Body.Close()
 }
 
+// overloaded returns the refusal of a request that no endpoint has room for.
 func overloaded() *carawayspread.Error {
 	return carawayspread.NewError(carawayspread.CodeOverloaded, "the endpoints have no room now",
 		carawayspread.NotRun(), carawayspread.RetryAfter(retryDelay))
--- a/internal/process/gateway/draining_test.go
+++ b/internal/process/gateway/draining_test.go
@@ -12,7 +12,7 @@
 	"carawayspread"
 )
 
-// drains makes an endpoint say in all its answers that it leaves.
+// drainingAnswers makes one endpoint report in all its answers that it is draining.
 func drainingAnswers(draining carawayspread.EndpointID) func(carawayspread.EndpointID, int) (int, http.Header) {
 	return func(id carawayspread.EndpointID, _ int) (int, http.Header) {
 		h := http.Header{}
@@ -23,8 +23,8 @@
 	}
 }
 
-// An endpoint says in its answers that it leaves while the list of endpoints, which the
-// store cannot give, goes on naming it as ready: it got as many requests as before.
+// Guards against sending requests to an endpoint that reports in its answers that it is draining,
+// while the list of endpoints, which cannot be refreshed from the store, still has it as ready.
 func TestDrainingEndpointGetsNoNewRequests(t *testing.T) {
 	const (
 		endpoints = 4
@@ -33,13 +33,13 @@
 	)
 	for name, c := range map[string]struct {
 		processes int
-		refresh   func(f *feedbackFleet) // what the processes read of the list meanwhile
+		refresh   func(f *feedbackFleet) // changes the list of endpoints in the meantime
 	}{
-		"one process":                   {1, func(*feedbackFleet) {}},
-		"some processes":                {4, func(*feedbackFleet) {}},
-		"the list is read again":        {4, func(f *feedbackFleet) { f.setEndpoints(endpoints) }},
-		"the entry lapses and is back":  {4, func(f *feedbackFleet) { f.setEndpoints(0); f.setEndpoints(endpoints) }},
-		"the entry is gone for a while": {4, func(f *feedbackFleet) { f.setEndpoints(0); f.clock.Advance(time.Minute); f.setEndpoints(endpoints) }},
+		"one process":                       {1, func(*feedbackFleet) {}},
+		"several processes":                 {4, func(*feedbackFleet) {}},
+		"the list is read again":            {4, func(f *feedbackFleet) { f.setEndpoints(endpoints) }},
+		"the entry is lost and restored":    {4, func(f *feedbackFleet) { f.setEndpoints(0); f.setEndpoints(endpoints) }},
+		"the entry is missing for a minute": {4, func(f *feedbackFleet) { f.setEndpoints(0); f.clock.Advance(time.Minute); f.setEndpoints(endpoints) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFeedbackFleet(c.processes, endpoints)
@@ -53,13 +53,13 @@
 				f.run(2*time.Second, step)
 			}
 			qt.Check(t, len(f.arrivals["w0"])-before, qt.Equals, 0)
-			qt.Check(t, f.refused, qt.Equals, 0, qt.Commentf("the others have room"))
+			qt.Check(t, f.refused, qt.Equals, 0, qt.Commentf("the other endpoints have capacity"))
 		})
 	}
 }
 
-// Prompts are read by one engine and answered by others, of which one says that it
-// leaves: the second halves of requests went on to be sent there.
+// Guards against handing requests over to a draining engine: with separate prefill and decode
+// engines, one of the decode engines reports in its first answer that it is draining.
 func TestHandoverSkipsADrainingEngine(t *testing.T) {
 	const draining, requests = "w1", 40
 	b := newHarness(t)
@@ -89,6 +89,6 @@
 			toDraining++
 		}
 	}
-	qt.Check(t, prefills, qt.Equals, requests, qt.Commentf("all are handed over"))
-	qt.Check(t, toDraining, qt.Equals, 1, qt.Commentf("the answer that said so is the last"))
+	qt.Check(t, prefills, qt.Equals, requests, qt.Commentf("every request is prefilled on the prefill engine"))
+	qt.Check(t, toDraining, qt.Equals, 1, qt.Commentf("the draining engine gets nothing after the answer that reports it"))
 }
--- a/internal/process/gateway/feedback.go
+++ b/internal/process/gateway/feedback.go
@@ -9,12 +9,12 @@
 	"carawayspread/internal/process/decisionlog"
 )
 
-// mostPlacings bounds how often a request is placed anew because another one took the
-// endpoint's last place meanwhile.
+// maxPlacements bounds how often a request is placed again because a concurrent one used up the
+// endpoint's rate.
 const maxPlacements = 3
 
-// WithFeedback sets what tells peers of an endpoint's feedback, and which processes
-// share the rate that one names.
+// WithFeedback sets the function that forwards an endpoint's feedback to peers, and the processes
+// that share the rate an endpoint reports.
 func WithFeedback(forward func(carawayspread.EndpointID, carawayspread.Feedback), fleet backpressure.Fleet) Option {
 	return func(g *Gateway) {
 		g.forwardFeedback = forward
@@ -22,17 +22,17 @@
 	}
 }
 
-// alone is the fleet of a process that has no peers.
+// noPeers is the fleet of a process without peers.
 func noPeers() (self uint64, all []uint64) { return 0, []uint64{0} }
 
-// ApplyPeerFeedback takes what an answer to a peer says of its endpoint.
+// ApplyPeerFeedback applies the feedback of an endpoint in an answer that a peer received.
 func (g *Gateway) ApplyPeerFeedback(id carawayspread.EndpointID, f carawayspread.Feedback) {
 	if g.backpressure.Heard(id, f) {
 		g.logFeedback(id, f, "peer")
 	}
 }
 
-// feedback takes what a reply, sent for at that moment, says of its endpoint.
+// recordFeedback applies the endpoint's feedback in a reply to a request that was sent at sentAt.
 func (c *call) recordFeedback(at carawayspread.Placement, reply *carawayspread.Reply, kind carawayspread.ReplyKind, sentAt time.Time) {
 	id := at.Endpoint.ID()
 	f, err := c.g.protocol.ParseFeedback(reply)
@@ -47,8 +47,8 @@
 	case kind == carawayspread.ReplyAnswer:
 		changed, forward = c.g.backpressure.Answered(id, sentAt, f)
 	case kind == carawayspread.ReplyInconclusive:
-		// What is no answer to this request may be no answer at all: the most that it
-		// can do is to have this process wait.
+		// An inconclusive reply may not come from the endpoint at all. It can only make this
+		// process wait, and is not forwarded.
 		changed, _ = c.g.backpressure.Refused(id, carawayspread.Feedback{RetryAfter: f.RetryAfter})
 	}
 	if changed {
@@ -59,7 +59,7 @@
 	}
 }
 
-// logFeedback writes what an endpoint says of itself from now on.
+// logFeedback logs and counts an endpoint's new feedback.
 func (g *Gateway) logFeedback(id carawayspread.EndpointID, f carawayspread.Feedback, from string) {
 	line := decisionlog.Start("feedback").Text("endpoint", string(id)).Text("from", from).Ms("retryAfterMs", f.RetryAfter)
 	if f.Limited {
@@ -74,7 +74,7 @@
 	g.set.GetOrCreateCounter(`gateway_feedback_changes_total{from="` + from + `"}`).Inc()
 }
 
-// place chooses an endpoint that takes the request now.
+// place chooses an endpoint that accepts the request now.
 func (c *call) place() (p carawayspread.PlacementRequest, at carawayspread.Placement, err error) {
 	for range maxPlacements {
 		p = c.placementRequest()
@@ -92,8 +92,8 @@
 	return p, at, c.withRetryAfter(overloaded())
 }
 
-// untilOpen tells a caller whom no endpoint takes to come back when the first of those
-// that asked for less opens again.
+// withRetryAfter extends the Retry-After of a refusal until the first endpoint that is withheld
+// because of its own feedback accepts requests again.
 func (c *call) withRetryAfter(err error) error {
 	refusal, ok := carawayspread.AsError(err)
 	reopens := c.g.backpressure.Opens((*c.g.endpoints.Load())[c.service.Name])
--- a/internal/process/gateway/finish.go
+++ b/internal/process/gateway/finish.go
@@ -13,7 +13,7 @@
 	"carawayspread/internal/process/decisionlog"
 )
 
-// endToEnd returns a copy without the headers of one connection.
+// endToEnd returns a copy without hop-by-hop headers, Content-Length and Expect.
 func endToEnd(h http.Header) http.Header {
 	out := make(http.Header, len(h)+4)
 	for name, values := range h {
@@ -25,21 +25,20 @@
 	return out
 }
 
-// isEnding reports whether the request is given up as the process ends.
+// shuttingDown reports whether the request is abandoned because the process is ending.
 func (c *call) shuttingDown() bool {
 	return errors.Is(context.Cause(c.r.Context()), carawayspread.ErrShutdown)
 }
 
-// fail gives the final answer to a request that has none from an endpoint.
+// fail gives the final answer to a request that has no complete answer from an endpoint.
 func (c *call) fail(ctx context.Context, err error) {
 	switch {
 	case c.r.Context().Err() != nil && !c.shuttingDown():
 		c.finish("callerLeft", 0)
 		panic(http.ErrAbortHandler)
 	case c.started:
-		// Failure: the answer ended early and cannot go on. Symptom: a caller
-		// that takes a part for the whole. Resetting the connection is the one
-		// end that no HTTP client can mistake for a complete answer.
+		// The answer broke off and cannot be resumed. Resetting the connection is the only
+		// ending that no HTTP client takes for a complete answer.
 		c.line.Text("error", err.Error())
 		c.finish("cut", 0)
 		panic(http.ErrAbortHandler)
@@ -53,7 +52,7 @@
 	}
 }
 
-// notRun returns the refusal of a request that provably has not run.
+// notRunError returns the refusal of a request that provably has not run.
 func (c *call) notRunError(ctx context.Context, err error) *carawayspread.Error {
 	if refusal, ok := carawayspread.AsError(err); ok && refusal.NotRun() {
 		return refusal
@@ -69,17 +68,17 @@
 		carawayspread.NotRun(), carawayspread.RetryAfter(retryDelay), carawayspread.CausedBy(err))
 }
 
-// leaving refuses a request that the process cannot answer before it ends.
+// drainingError returns the refusal of a request that the process cannot answer before it ends.
 func (c *call) drainingError() *carawayspread.Error {
 	return carawayspread.NewError(carawayspread.CodeDraining, "this process is leaving",
 		carawayspread.NotRun(), carawayspread.RetryAfter(retryDelay))
 }
 
-// same names the request's path and body, which are the same whenever its caller
-// sends it again under another identifier.
+// fingerprintText returns the fingerprint for log lines. It depends only on path and body, so it
+// stays the same when the caller sends the request again under another identifier.
 func (c *call) fingerprintText() string { return strconv.FormatUint(c.fingerprint, 36) }
 
-// note logs an attempt that brought no whole answer.
+// logAttempt logs and counts an attempt that returned no complete answer.
 func (c *call) logAttempt(at carawayspread.Placement, phase carawayspread.Phase, why string) {
 	c.g.log.Write(decisionlog.Start("attempt").Text("id", c.metadata.ID).Text("endpoint", string(at.Endpoint.ID())).
 		Text("request", c.fingerprintText()).Text("phase", phase.String()).Text("why", why).Int("sends", int64(c.sends)).Int("ran", int64(c.ran)).
@@ -87,7 +86,7 @@
 	c.g.set.GetOrCreateCounter(`gateway_failed_attempts_total{phase="` + phase.String() + `"}`).Inc()
 }
 
-// refuse answers in the system's own name.
+// writeError answers the request with an error of the gateway's own.
 func (c *call) writeError(err *carawayspread.Error) {
 	c.line.Text("error", err.Error())
 	outcome := "failed"
@@ -105,15 +104,15 @@
 	c.g.protocol.WriteError(c.w, err)
 }
 
-// lastOfConnection asks the caller of a process that is leaving to send its next
-// request elsewhere.
+// closeIfDraining makes the caller of a draining process open a new connection for its next
+// request, so that it reaches another process.
 func (c *call) closeIfDraining() {
 	if c.g.drain.Load() != nil {
 		c.w.Header().Set("Connection", "close")
 	}
 }
 
-// finish writes the line and counts.
+// finish writes the request's log line and updates the metrics.
 func (c *call) finish(outcome string, status int) {
 	now := c.g.clock.Now()
 	route := "none"
--- a/internal/process/gateway/gateway.go
+++ b/internal/process/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway takes callers' requests by host and path and has them run at
-// endpoints that have no sidecar before them.
+// Package gateway routes callers' requests by host and path, and runs them at endpoints that have
+// no sidecar in front of them.
 package gateway
 
 import (
@@ -27,24 +27,24 @@
 )
 
 const (
-	// comeBack is when a caller may try again that met a process which holds
-	// no routes yet, or is leaving.
+	// retryDelay is the Retry-After of most refusals, such as those of a process that has no
+	// routes yet or is draining.
 	retryDelay = 500 * time.Millisecond
-	// lateShare tells a caller that has come back from a fresh one: it says
-	// that it waits for clearly less than its route allows.
+	// targetMissedShare distinguishes a caller's retry after a refusal from a first request: the
+	// remaining time of a retry is below this share of the route's timeout.
 	targetMissedShare = 0.93
-	// tokenTime is how long the engine may take for a token of an answer that
-	// must end before this process does: twice that of a full engine.
+	// maxTokenTime is the time per token assumed for an answer that must end before this process
+	// does: twice that of a fully loaded engine.
 	maxTokenTime = 30 * time.Millisecond
-	// firstTime is how long the first event of it may take, in targets.
+	// maxFirstEventTargets is the time to its first event assumed for such an answer, as a
+	// multiple of the route's target latency.
 	maxFirstEventTargets = 2
-	// closing is the last part of the process's time, in which nothing more is
-	// taken.
+	// drainMargin is the time by which an answer must end before the process does.
 	drainMargin = 300 * time.Millisecond
-	// defaultBody bounds a body where operators state no bound.
+	// defaultBodyLimit bounds a body in bytes where operators set no limit.
 	defaultBodyLimit = 4 << 20
-	// suspicion is how long a request that broke the connections of two
-	// endpoints is refused. It outlasts callers that send again.
+	// quarantineDuration is how long a request is refused after the connections of two endpoints
+	// broke under it. It outlasts the retries of callers.
 	quarantineDuration = 2 * time.Minute
 )
 
@@ -58,7 +58,7 @@
 	log        *decisionlog.Log
 	set        *metrics.Set
 	quarantine *quarantine.Quarantine
-	// backpressure holds what endpoints say of themselves.
+	// backpressure holds the feedback of endpoints.
 	backpressure    *backpressure.Backpressure
 	forwardFeedback func(carawayspread.EndpointID, carawayspread.Feedback)
 	retryBudget     fleetbudget.Terms
@@ -78,35 +78,37 @@
 	budgets map[string]*fleetbudget.Budget
 }
 
-// leave is the time of a process that was told to end.
+// drainWindow is the remaining time of a process that was ordered to end.
 type drainWindow struct {
-	restrictFrom time.Time // from here on only what is sure to end in time is taken
+	restrictFrom time.Time // from here on, only requests that surely end in time are accepted
 	end          time.Time
 }
 
 // Option sets an optional part of a Gateway.
 type Option func(*Gateway)
 
-// WithRetryBudget sets what may be sent beyond first attempts, by how many processes.
+// WithRetryBudget sets how many attempts may be sent beyond the first ones, and the number of
+// processes that share the budget.
 func WithRetryBudget(budget fleetbudget.Terms, processes func() int) Option {
 	return func(g *Gateway) { g.retryBudget, g.budgetProcesses = budget, processes }
 }
 
-// WithCrashReporter is told of each request whose endpoint broke off, and of each
-// that is withdrawn since the endpoint lives.
+// WithCrashReporter sets the function that reports a request whose attempt broke off at an
+// endpoint, and withdraws the report when the endpoint proves to be running.
 func WithCrashReporter(f func(fingerprint uint64, id carawayspread.EndpointID, withdrawn bool)) Option {
 	return func(g *Gateway) { g.reportCrash = f }
 }
 
-// WithAnswerReporter is told of each request that was answered though a peer refuses it.
+// WithAnswerReporter sets the function that reports a request that was answered here while a peer
+// refuses it.
 func WithAnswerReporter(f func(fingerprint uint64)) Option {
 	return func(g *Gateway) { g.reportAnswer = f }
 }
 
-// WithListAge sets what says how old the list of endpoints is.
+// WithListAge sets the function that returns the age of the list of endpoints.
 func WithListAge(age func() time.Duration) Option { return func(g *Gateway) { g.listAge = age } }
 
-// New returns a gateway that holds no routes.
+// New returns a gateway without routes.
 func New(transport carawayspread.EndpointTransport, protocol carawayspread.Protocol, placer carawayspread.Placer,
 	clock carawayspread.Clock, log *decisionlog.Log, opts ...Option,
 ) *Gateway {
@@ -140,13 +142,13 @@
 	return g
 }
 
-// Metrics returns the counters of the gateway.
+// Metrics returns the metrics of the gateway.
 func (g *Gateway) Metrics() *metrics.Set { return g.set }
 
 // Running returns the number of requests without a final answer.
 func (g *Gateway) Running() int64 { return g.running.Load() }
 
-// Adopt takes a newer set of routes.
+// Adopt replaces the routes by a newer set.
 func (g *Gateway) Adopt(routing *carawayspread.Routing) {
 	old := g.routing.Swap(routing)
 	line := decisionlog.Start("routes").Int("version", int64(routing.Version())).Int("routes", int64(routing.Len()))
@@ -156,10 +158,10 @@
 	g.log.Write(line)
 }
 
-// Routing returns the routes in force; nil where none are known.
+// Routing returns the routes in force; nil if none are known.
 func (g *Gateway) Routing() *carawayspread.Routing { return g.routing.Load() }
 
-// SetEndpoints takes all endpoints.
+// SetEndpoints replaces the endpoints of all services.
 func (g *Gateway) SetEndpoints(endpoints []carawayspread.Endpoint) {
 	endpoints = g.backpressure.Listed(endpoints)
 	byService := map[string][]carawayspread.Endpoint{}
@@ -177,7 +179,7 @@
 	}
 }
 
-// RecordCrash takes what a peer saw.
+// RecordCrash records a crash of the endpoint with the request, or withdraws the record of one.
 func (g *Gateway) RecordCrash(fingerprint uint64, id carawayspread.EndpointID, withdrawn bool) {
 	if withdrawn {
 		g.quarantine.Withdraw(fingerprint, id)
@@ -186,20 +188,20 @@
 	g.quarantine.Crashed(quarantine.Crash{Endpoint: id, At: g.clock.Now()}, []uint64{fingerprint}, nil)
 }
 
-// Refused returns the requests that are refused here, of which peers may know an answer.
+// Refused returns the requests that are refused here and that peers may have answered.
 func (g *Gateway) Refused() []uint64 { return g.quarantine.Doubts() }
 
-// RefusedByPeer takes what a peer refuses.
+// RefusedByPeer records the requests that a peer refuses.
 func (g *Gateway) RefusedByPeer(refused []uint64) { g.quarantine.Doubted(refused) }
 
-// AnsweredByPeer takes note that a peer answered a request.
+// AnsweredByPeer removes a request from quarantine that a peer answered.
 func (g *Gateway) AnsweredByPeer(fingerprint uint64) { g.quarantine.Cleared(fingerprint) }
 
-// Drain makes the gateway take, from the first moment on, only what is sure to
-// have its answer before the second.
+// Drain makes the gateway accept, from restrictFrom on, only requests whose answers surely end
+// before end.
 func (g *Gateway) Drain(restrictFrom, end time.Time) { g.drain.Store(&drainWindow{restrictFrom, end}) }
 
-// ends reports whether the request can be taken in spite of the order to end.
+// finishesInTime reports whether the request can be accepted in spite of a drain.
 func (c *call) finishesInTime() bool {
 	window := c.g.drain.Load()
 	if window == nil || c.arrived.Before(window.restrictFrom) {
@@ -223,7 +225,7 @@
 	return b
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP routes and answers one request.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.running.Add(1)
 	defer g.running.Add(-1)
@@ -235,7 +237,7 @@
 	c.serve()
 }
 
-// path returns the path as the caller sent it.
+// path returns the escaped path as the caller sent it.
 func path(r *http.Request) string {
 	target, _, _ := strings.Cut(r.RequestURI, "?")
 	return target
@@ -248,7 +250,7 @@
 	return r.Host
 }
 
-// findRoute finds the route of the request.
+// findRoute finds the route of the request in the routes in force.
 func (c *call) findRoute() *carawayspread.Error {
 	c.routing = c.g.routing.Load()
 	if c.routing == nil {
@@ -263,7 +265,7 @@
 	return nil
 }
 
-// applyPriority gives the request the priority of its workspace.
+// applyPriority gives the request the priority of its workspace, where that has one.
 func (c *call) applyPriority() {
 	if priority := c.workspace.Priority(c.route.Priority); priority != c.route.Priority {
 		route := *c.route
@@ -272,7 +274,7 @@
 	}
 }
 
-// accept reads the request and finds what answers it.
+// accept reads the request, and finds its route, workspace, service and deadline.
 func (c *call) accept() *carawayspread.Error {
 	g := c.g
 	c.metadata = g.protocol.ParseRequest(c.r.Header)
@@ -311,7 +313,7 @@
 	if limit <= 0 {
 		limit = defaultBodyLimit
 	}
-	// The end of a request's context does not interrupt a read of its body.
+	// The end of a request's context does not interrupt a read of its body; a read deadline does.
 	defer context.AfterFunc(c.r.Context(), func() {
 		_ = http.NewResponseController(c.w).SetReadDeadline(c.g.clock.Now())
 	})()
@@ -330,7 +332,7 @@
 	return nil
 }
 
-// pick draws a service by weight.
+// pickService picks a service at random by weight.
 func pickService(shares []carawayspread.Share) string {
 	total := 0
 	for _, share := range shares {
--- a/internal/process/gateway/gateway_test.go
+++ b/internal/process/gateway/gateway_test.go
@@ -25,13 +25,13 @@
 	"carawayspread/platform/wire"
 )
 
-// sent is what one attempt looked like.
+// sentAttempt is one attempt as the transport received it.
 type sentAttempt struct {
 	to  carawayspread.EndpointID
 	out carawayspread.Outbound
 }
 
-// script is a carawayspread.EndpointTransport that answers from a list.
+// scriptedTransport is a carawayspread.EndpointTransport that answers from a list of steps.
 type scriptedTransport struct {
 	mu    sync.Mutex
 	steps []func(s sentAttempt) (*carawayspread.Reply, error)
@@ -59,7 +59,7 @@
 
 type step = func(s sentAttempt) (*carawayspread.Reply, error)
 
-// cutBody gives its text and then an error.
+// cutBody returns its text and then an error.
 type cutBody struct {
 	io.Reader
 	err error
@@ -114,7 +114,7 @@
 		for n := first; n <= last; n++ {
 			fmt.Fprintf(&b, "id: %d\ndata: part %d\n\n", n, n)
 		}
-		if end != io.EOF { //nolint:errorlint // the one value that ends a whole answer
+		if end != io.EOF { //nolint:errorlint // the one value that ends a complete answer
 			b.WriteString("id: 99\ndata: half an ev")
 		}
 		return reply(s, 200, b.String(), end), nil
@@ -134,7 +134,7 @@
 	clock     *clockwork.FakeClock
 	placer    *placement.Placer
 	log       *decisionlog.Log
-	lines     *bytes.Buffer // what the log wrote when it was flushed
+	lines     *bytes.Buffer // what the log has written after Flush
 }
 
 func route(name string, retry carawayspread.RetryPolicy, stream bool, attempts int) *carawayspread.Route {
@@ -193,11 +193,10 @@
 	return resp, string(text), err
 }
 
-// What a caller gets, and how many endpoints saw its request, for each way in
-// which attempts can go.
-// A request that may have run is sent again only where its route allows that;
-// only a proof that it has not run is passed on as "not run"; and nothing that
-// is not the endpoint's whole answer to this request is passed on at all.
+// Checks the caller's answer and the number of endpoints that received the request, for each
+// outcome of attempts. It guards against retrying a request that may have run where its route
+// forbids that, against reporting "not run" without a proof, and against relaying anything but the
+// endpoint's complete answer to this request.
 func TestAnswerByOutcomeOfAttempts(t *testing.T) {
 	for name, test := range map[string]struct {
 		path   string
@@ -206,29 +205,29 @@
 		body   string
 		sends  int
 	}{
-		"served":                          {"/never/x", nil, 200, "whole of ", 1},
-		"own failure is passed on":        {"/never/x", []step{answer(500)}, 500, "whole of ", 1},
-		"own failure of a safe request":   {"/safe/x", []step{answer(500)}, 200, "whole of ", 2},
-		"twice its own failure":           {"/safe/x", []step{answer(500), answer(500)}, 500, "whole of ", 2},
-		"broken, may not repeat":          {"/never/x", []step{disconnect()}, 502, "endpoint_failed", 1},
-		"broken, safe":                    {"/safe/x", []step{disconnect()}, 200, "whole of ", 2},
-		"broken twice, attempts used":     {"/safe/x", []step{disconnect(), disconnect()}, 502, "endpoint_failed", 2},
-		"cut, may not repeat":             {"/never/x", []step{truncated()}, 502, "endpoint_failed", 1},
-		"cut, safe":                       {"/safe/x", []step{truncated()}, 200, "whole of ", 2},
-		"not run goes elsewhere":          {"/never/x", []step{notRun(503)}, 200, "whole of ", 2},
-		"stranger goes elsewhere":         {"/never/x", []step{answer(421)}, 200, "whole of ", 2},
-		"unreachable goes elsewhere":      {"/never/x", []step{unreachable()}, 200, "whole of ", 2},
-		"nowhere run":                     {"/never/x", []step{notRun(503), notRun(503), notRun(503)}, 503, `"notRun":true`, 3},
-		"nowhere reached":                 {"/never/x", []step{unreachable(), unreachable(), unreachable()}, 503, `"notRun":true`, 3},
-		"a 503 that promises nothing":     {"/never/x", []step{answer(503)}, 502, `"notRun":false`, 1},
-		"a 429 that promises nothing":     {"/never/x", []step{answer(429)}, 502, `"notRun":false`, 1},
-		"a 408 that promises nothing":     {"/never/x", []step{answer(408)}, 502, `"notRun":false`, 1},
-		"answer to another request":       {"/never/x", []step{answer(200, "Carawayspread-Request-Id", "id-2")}, 502, "endpoint_failed", 1},
-		"answer to another request, safe": {"/safe/x", []step{answer(200, "Carawayspread-Request-Id", "id-2")}, 200, "whole of ", 2},
-		"success without a signature":     {"/never/x", []step{answer(200, "Carawayspread-Server-Seal", "")}, 502, "endpoint_failed", 1},
-		"a body nobody can read":          {"/never/x", []step{answer(200, "Content-Encoding", "br")}, 502, "endpoint_failed", 1},
-		"may have run, then not run":      {"/safe/x", []step{disconnect(), notRun(503), notRun(503)}, 502, `"notRun":false`, 3},
-		"no route":                        {"/other/x", nil, 404, "not_found", 0},
+		"served":                                {"/never/x", nil, 200, "whole of ", 1},
+		"server error is relayed":               {"/never/x", []step{answer(500)}, 500, "whole of ", 1},
+		"server error, idempotent":              {"/safe/x", []step{answer(500)}, 200, "whole of ", 2},
+		"two server errors":                     {"/safe/x", []step{answer(500), answer(500)}, 500, "whole of ", 2},
+		"disconnect, no retry allowed":          {"/never/x", []step{disconnect()}, 502, "endpoint_failed", 1},
+		"disconnect, idempotent":                {"/safe/x", []step{disconnect()}, 200, "whole of ", 2},
+		"two disconnects, attempts used":        {"/safe/x", []step{disconnect(), disconnect()}, 502, "endpoint_failed", 2},
+		"truncated, no retry allowed":           {"/never/x", []step{truncated()}, 502, "endpoint_failed", 1},
+		"truncated, idempotent":                 {"/safe/x", []step{truncated()}, 200, "whole of ", 2},
+		"not run goes elsewhere":                {"/never/x", []step{notRun(503)}, 200, "whole of ", 2},
+		"wrong endpoint goes elsewhere":         {"/never/x", []step{answer(421)}, 200, "whole of ", 2},
+		"unreachable goes elsewhere":            {"/never/x", []step{unreachable()}, 200, "whole of ", 2},
+		"not run anywhere":                      {"/never/x", []step{notRun(503), notRun(503), notRun(503)}, 503, `"notRun":true`, 3},
+		"unreachable everywhere":                {"/never/x", []step{unreachable(), unreachable(), unreachable()}, 503, `"notRun":true`, 3},
+		"503 without a proof":                   {"/never/x", []step{answer(503)}, 502, `"notRun":false`, 1},
+		"429 without a proof":                   {"/never/x", []step{answer(429)}, 502, `"notRun":false`, 1},
+		"408 without a proof":                   {"/never/x", []step{answer(408)}, 502, `"notRun":false`, 1},
+		"answer to another request":             {"/never/x", []step{answer(200, "Carawayspread-Request-Id", "id-2")}, 502, "endpoint_failed", 1},
+		"answer to another request, idempotent": {"/safe/x", []step{answer(200, "Carawayspread-Request-Id", "id-2")}, 200, "whole of ", 2},
+		"success without a signature":           {"/never/x", []step{answer(200, "Carawayspread-Server-Seal", "")}, 502, "endpoint_failed", 1},
+		"unsupported content encoding":          {"/never/x", []step{answer(200, "Content-Encoding", "br")}, 502, "endpoint_failed", 1},
+		"may have run, then not run":            {"/safe/x", []step{disconnect(), notRun(503), notRun(503)}, 502, `"notRun":false`, 3},
+		"no route":                              {"/other/x", nil, 404, "not_found", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, test.steps...)
@@ -247,7 +246,7 @@
 				qt.Check(t, resp.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
 			}
 			if resp.StatusCode >= 500 && strings.Contains(body, "error") {
-				qt.Check(t, resp.Header.Get("Carawayspread-Server-Seal"), qt.Equals, "", qt.Commentf("our own answer bears no signature"))
+				qt.Check(t, resp.Header.Get("Carawayspread-Server-Seal"), qt.Equals, "", qt.Commentf("the gateway's own answer must not be signed"))
 			}
 		})
 	}
@@ -255,21 +254,20 @@
 
 const tokens = "Carawayspread-Token-Count"
 
-// A stream reaches its caller whole, in order and each event once, or ends in a
-// way that nobody takes for its end.
-// The engine breaks off in the middle of an event. A stream that may be resumed
-// goes on at another engine after the last whole event, in the same answer; any
-// other one is reset, and the half event is never passed on.
+// Guards against streams with lost or repeated events, and against a truncated stream that looks
+// complete. The engine breaks off in the middle of an event: a resumable stream continues at
+// another engine after the last complete event, in the same answer; any other one is reset. The
+// incomplete event is never relayed.
 func TestStreamAfterAnInterruption(t *testing.T) {
 	for name, test := range map[string]struct {
-		path  string
-		steps []step
-		parts int
-		whole bool
-		sends int
+		path     string
+		steps    []step
+		parts    int
+		complete bool
+		sends    int
 	}{
 		"whole":                         {"/once/x", []step{events(1, 4, io.EOF)}, 4, true, 1},
-		"cut, not to be resumed":        {"/once/x", []step{events(1, 2, io.ErrUnexpectedEOF)}, 2, false, 1},
+		"cut, not resumable":            {"/once/x", []step{events(1, 2, io.ErrUnexpectedEOF)}, 2, false, 1},
 		"cut, resumed":                  {"/resume/x", []step{events(1, 2, io.ErrUnexpectedEOF), events(3, 4, io.EOF)}, 4, true, 2},
 		"cut twice, attempts used":      {"/resume/x", []step{events(1, 2, io.ErrUnexpectedEOF), events(3, 3, io.ErrUnexpectedEOF)}, 3, false, 2},
 		"cut, then refused, then taken": {"/resume/x", []step{events(1, 2, io.ErrUnexpectedEOF), notRun(503), events(3, 4, io.EOF)}, 4, true, 3},
@@ -278,13 +276,13 @@
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, test.steps...)
 			resp, body, err := b.post(t, test.path, "p", tokens, "100,50")
-			qt.Check(t, err == nil, qt.Equals, test.whole)
+			qt.Check(t, err == nil, qt.Equals, test.complete)
 			if resp == nil {
 				body = ""
 			} else {
 				qt.Check(t, resp.Header.Get("Carawayspread-Server-Seal"), qt.Equals, "seal-"+string(b.transport.all()[0].to))
 			}
-			if test.whole {
+			if test.complete {
 				want := ""
 				for n := 1; n <= test.parts; n++ {
 					want += fmt.Sprintf("id: %d\ndata: part %d\n\n", n, n)
@@ -302,21 +300,20 @@
 	}
 }
 
-// A prompt that was read for nothing costs its caller nothing but time, and no
-// engine keeps its memory.
-// One engine reads the prompt and the other cannot take it over; the second
-// try is made without a hand-over, and counts as one.
+// Guards against failing a request because its handover failed: one engine prefills the prompt and
+// the other cannot fetch the KV cache. The next attempt runs on a single engine, and the caller
+// loses only time.
 func TestFailedHandover(t *testing.T) {
 	for name, test := range map[string]struct {
 		steps []step
-		want  []string // of each send: the header that tells its phase
+		want  []string // for each attempt: the header that shows its phase
 	}{
-		"taken over":            {[]step{kvHandle(), events(1, 2, io.EOF)}, []string{"prefill", "10.0.0.1:100/h1"}},
-		"cannot be had":         {[]step{kvHandle(), notRun(503), events(1, 2, io.EOF)}, []string{"prefill", "10.0.0.1:100/h1", ""}},
-		"reading refused":       {[]step{notRun(503), events(1, 2, io.EOF)}, []string{"prefill", ""}},
-		"reader breaks":         {[]step{disconnect(), events(1, 2, io.EOF)}, []string{"prefill", ""}},
-		"reader not reached":    {[]step{unreachable(), events(1, 2, io.EOF)}, []string{"prefill", ""}},
-		"answer names no cache": {[]step{answer(200), events(1, 2, io.EOF)}, []string{"prefill", ""}},
+		"handed over":                   {[]step{kvHandle(), events(1, 2, io.EOF)}, []string{"prefill", "10.0.0.1:100/h1"}},
+		"cache not available":           {[]step{kvHandle(), notRun(503), events(1, 2, io.EOF)}, []string{"prefill", "10.0.0.1:100/h1", ""}},
+		"prefill refused":               {[]step{notRun(503), events(1, 2, io.EOF)}, []string{"prefill", ""}},
+		"prefill engine disconnects":    {[]step{disconnect(), events(1, 2, io.EOF)}, []string{"prefill", ""}},
+		"prefill engine unreachable":    {[]step{unreachable(), events(1, 2, io.EOF)}, []string{"prefill", ""}},
+		"answer without a cache handle": {[]step{answer(200), events(1, 2, io.EOF)}, []string{"prefill", ""}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, test.steps...)
@@ -334,8 +331,8 @@
 	}
 }
 
-// Endpoints get no more than the common budget allows, however many requests fail.
-// Every endpoint says that it has no room, and each request could go to three.
+// Guards against retries beyond the budget that all processes share. Every endpoint refuses, and
+// each request could be sent to three of them.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	var steps []step
 	for range 300 {
@@ -355,8 +352,8 @@
 	qt.Check(t, extra > 0, qt.IsTrue)
 }
 
-// A caller's own words for what the system sets never reach an endpoint, and
-// what is left of its time does.
+// Guards against callers that set reserved headers: these must not reach an endpoint. The remaining
+// time of the caller must.
 func TestReservedHeadersAreSetByTheGateway(t *testing.T) {
 	b := newHarness(t, disconnect())
 	_, _, err := b.post(t, "/safe/x?q=1", "body", "Carawayspread-Deadline-Ms", "1500", "Carawayspread-Kv-Hold", "forged",
@@ -376,7 +373,8 @@
 	}
 }
 
-// A malformed or too large request is refused by itself; the next is served.
+// Guards against a too large request, or malformed prompt headers, that keep later requests from
+// being served.
 func TestBadRequestDoesNotAffectTheNext(t *testing.T) {
 	b := newHarness(t)
 	resp, _, err := b.post(t, "/never/x", strings.Repeat("x", 101))
@@ -387,8 +385,8 @@
 	qt.Check(t, resp.StatusCode, qt.Equals, 200)
 }
 
-// Whoever asks why a caller was refused finds in the line which engine was best,
-// what was expected there, of what it consisted, and what the target is.
+// Guards against refusals that the log does not explain: the line must have the best engine, the
+// expected time there and its parts, and the target.
 func TestRefusalLogsTheExpectedTimes(t *testing.T) {
 	b := newHarness(t)
 	var updates []carawayspread.LoadUpdate
--- a/internal/process/gateway/mismatch_test.go
+++ b/internal/process/gateway/mismatch_test.go
@@ -10,7 +10,7 @@
 	"carawayspread"
 )
 
-// trackedBody is a body that must not be read to its end.
+// trackedBody records whether it was read to its end and whether it was closed.
 type trackedBody struct {
 	io.Reader
 	ended  bool
@@ -28,8 +28,9 @@
 	return nil
 }
 
-// Callers after one that met another's answer get their own: the connection is
-// not used again, on which the answer that was due is still to come.
+// Guards against callers that receive the answer to another request: after an answer with a wrong
+// request identifier, the answer that was due is still to come on that connection. The connection
+// must be closed, and not read to its end, which would return it to the pool.
 func TestAnswerToAnotherRequestClosesTheConnection(t *testing.T) {
 	body := &trackedBody{Reader: strings.NewReader("another's")}
 	b := newHarness(t, func(s sentAttempt) (*carawayspread.Reply, error) {
--- a/internal/process/gateway/prefill.go
+++ b/internal/process/gateway/prefill.go
@@ -11,7 +11,8 @@
 	"carawayspread/internal/process/decisionlog"
 )
 
-// hand has the prompt read by one engine for another.
+// prefill has one engine prefill the prompt for a decode engine. After a success, err is
+// errPrefilled and retry is true, so that the next attempt decodes.
 func (c *call) prefill(ctx context.Context, p carawayspread.PlacementRequest, at carawayspread.Placement) (retry bool, err error) {
 	c.prefillEndpoint = at.Endpoint.ID()
 	tracker := c.g.placer.Sent(p, at)
@@ -21,7 +22,7 @@
 	defer stop()
 	sentAt := c.g.clock.Now()
 	reply, err := c.send(attemptCtx, at, carawayspread.PhasePrefill)
-	c.singleEndpoint = true // unless it succeeds
+	c.singleEndpoint = true // reset below if the prefill succeeds
 	if errors.Is(err, carawayspread.ErrUnsent) {
 		outcome = c.recordUnsent(ctx, at)
 		c.logAttempt(at, carawayspread.PhasePrefill, err.Error())
@@ -45,7 +46,7 @@
 		closeBody(reply)
 		outcome = carawayspread.OutcomeRefused
 		c.exclude[at.Endpoint.ID()] = true
-		c.logAttempt(at, carawayspread.PhasePrefill, "not read, status "+strconv.Itoa(reply.Status))
+		c.logAttempt(at, carawayspread.PhasePrefill, "no prefill, status "+strconv.Itoa(reply.Status))
 		return true, overloaded()
 	}
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxAnswerBytes))
@@ -64,10 +65,10 @@
 	return ctx.Err() == nil, err
 }
 
-// errRead keeps the loop of run going after a prompt was read.
-var errPrefilled = errors.New("the prompt was read and not answered")
+// errPrefilled keeps the loop of run going after a prefill, which gives no answer yet.
+var errPrefilled = errors.New("the prompt was prefilled and not decoded yet")
 
-// forget frees a KV cache that nobody took.
+// releaseKV frees a KV cache that no decode engine took.
 func (c *call) releaseKV() {
 	if c.handover == nil {
 		return
@@ -75,7 +76,7 @@
 	handover := *c.handover
 	c.handover = nil
 	if !c.g.backpressure.Take(handover.From.ID()) {
-		return // the engine drops it by itself after a while
+		return // the engine drops the cache by itself after a while
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
--- a/internal/process/gateway/quarantine_test.go
+++ b/internal/process/gateway/quarantine_test.go
@@ -10,9 +10,9 @@
 	"carawayspread"
 )
 
-// A request that brings down whatever runs it stops doing so after two
-// endpoints, through whichever process it comes; others go on being served.
-// Its caller sends it again with new identifiers; a peer saw the second crash.
+// Guards against a request that crashes one endpoint after the other: it must be refused after two
+// crashes, also when the caller sends it under new identifiers and a peer saw one of the crashes.
+// Other requests are still served.
 func TestHarmfulRequestIsRefused(t *testing.T) {
 	b := newHarness(t, disconnect())
 	_, _, err := b.post(t, "/never/x", "poison")
@@ -28,9 +28,9 @@
 	qt.Check(t, resp.StatusCode, qt.Equals, 200)
 }
 
-// Many callers ask for the same, and a connection breaks under one of them, twice in
-// two minutes, at two endpoints of which nothing more is heard. All that was answered
-// in between shows that the request harms nobody; it is not refused to all of them.
+// Guards against quarantining a harmless request that many callers send: its connection breaks
+// twice in two minutes, at two endpoints that give no further sign of running. An answer in between
+// shows that the request crashes nothing.
 func TestAnsweredRequestIsNotQuarantined(t *testing.T) {
 	b := newHarness(t)
 	same := fingerprint("/safe/x", []byte("harmless"))
@@ -42,8 +42,8 @@
 	}
 }
 
-// Callers of a harmless request are served although two endpoints broke off its
-// answers: both answer others right after, and the peers are told so.
+// Guards against quarantining a harmless request because two endpoints broke off its answers: both
+// answer other requests right after, so the crashes are withdrawn, also at the peers.
 func TestInterruptedAnswersDoNotKeepQuarantine(t *testing.T) {
 	b := newHarness(t, disconnect(), disconnect())
 	var withdrawals []carawayspread.EndpointID
@@ -70,9 +70,9 @@
 	qt.Check(t, len(withdrawals) > 0, qt.IsTrue)
 }
 
-// A process refuses a request for two minutes that others answer all the while: both
-// endpoints broke off their answers and then took long to show that they live, and the
-// others, which had just started, knew of no break that their answers could clear.
+// Guards against a process that refuses a request for two minutes while its peers answer it: two
+// endpoints broke off their answers and then took long to show that they are running, and the
+// peers, which had just started, knew of no crash that their answers could withdraw.
 func TestRequestAnsweredByPeersLeavesQuarantine(t *testing.T) {
 	b, other := newHarness(t, disconnect(), disconnect()), newHarness(t)
 	_, _, err := b.post(t, "/safe/x", "harmless")
@@ -86,7 +86,7 @@
 	other.gateway.reportAnswer = b.gateway.AnsweredByPeer
 	for range 100 {
 		b.clock.Advance(100 * time.Millisecond)
-		other.gateway.RefusedByPeer(b.gateway.Refused()) // as heartbeats tell
+		other.gateway.RefusedByPeer(b.gateway.Refused()) // as heartbeats do
 		resp, _, err := other.post(t, "/safe/x", "harmless")
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, resp.StatusCode, qt.Equals, 200)
--- a/internal/process/gateway/ratelimit_test.go
+++ b/internal/process/gateway/ratelimit_test.go
@@ -22,23 +22,23 @@
 	"carawayspread/platform/wire"
 )
 
-// feedbackFleet is some gateways before the same endpoints, which answer at once.
+// feedbackFleet is a set of gateways in front of the same endpoints, which answer at once.
 type feedbackFleet struct {
 	clock    *clockwork.FakeClock
 	rand     *rand.Rand
 	gateways []*Gateway
-	// says returns the headers that an endpoint adds to an answer to the process.
+	// respond returns the status of an endpoint's answer to the process, and headers to add.
 	respond func(id carawayspread.EndpointID, process int) (status int, h http.Header)
-	// arrivals are the requests that each endpoint got, by process.
+	// arrivals are the requests that each endpoint received.
 	arrivals map[carawayspread.EndpointID][]arrival
 	refused  int
-	// lost is the part of the messages that a peer does not hear.
+	// lossRate is the share of messages that a peer does not receive.
 	lossRate float64
-	// told is what processes have told their peers that these have not heard yet.
+	// pending are messages between processes that have not been delivered yet.
 	pending []gossipMessage
 }
 
-// told is one message of a process to its peers.
+// gossipMessage is one message of a process to its peers.
 type gossipMessage struct {
 	at       time.Time
 	from     int
@@ -54,7 +54,7 @@
 	process int
 }
 
-// fleetTransport is the way of one process to the endpoints.
+// fleetTransport connects one process to the endpoints.
 type fleetTransport struct {
 	fleet   *feedbackFleet
 	process int
@@ -89,7 +89,7 @@
 	return f
 }
 
-// list gives all processes the endpoints as the platform lists them.
+// setEndpoints gives all processes the list of endpoints.
 func (f *feedbackFleet) setEndpoints(endpoints int) {
 	var all []carawayspread.Endpoint
 	for n := range endpoints {
@@ -100,7 +100,7 @@
 	}
 }
 
-// all returns the names of all processes.
+// processIDs returns the identifiers of all processes.
 func (f *feedbackFleet) processIDs(processes int) []uint64 {
 	all := make([]uint64, processes)
 	for n := range all {
@@ -109,7 +109,7 @@
 	return all
 }
 
-// hear has processes hear what their peers told a while ago.
+// deliver delivers the messages that are at least gossipDelay old.
 func (f *feedbackFleet) deliver() {
 	for len(f.pending) > 0 && f.clock.Now().Sub(f.pending[0].at) >= gossipDelay {
 		message := f.pending[0]
@@ -122,7 +122,7 @@
 	}
 }
 
-// play sends requests to processes at random, one in each step, and counts those refused.
+// run sends requests to random processes, one per step, and counts the refused ones.
 func (f *feedbackFleet) run(d, step time.Duration) {
 	for end := f.clock.Now().Add(d); f.clock.Now().Before(end); f.clock.Advance(step) {
 		f.deliver()
@@ -132,7 +132,7 @@
 	}
 }
 
-// ask sends one request to a process.
+// post sends one request to a process.
 func (f *feedbackFleet) post(process int) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodPost, "/never/x", strings.NewReader(strconv.Itoa(f.rand.Int())))
 	r.Host = "a.example"
@@ -142,8 +142,8 @@
 	return w
 }
 
-// most returns the most requests that the endpoint got in any span of that length, among
-// those from a moment on.
+// peak returns the largest number of requests that the endpoint received in any span of that
+// length, among those at or after from.
 func (f *feedbackFleet) peak(id carawayspread.EndpointID, from time.Time, span time.Duration) int {
 	var peak, first int
 	all := f.arrivals[id]
@@ -161,13 +161,14 @@
 	return peak
 }
 
-// An endpoint in need names the requests a second that it takes from all processes
-// together; it got as many as before, and more than the others as it answered fast.
+// Guards against exceeding the rate that an overloaded endpoint reports: requests per second from
+// all processes together. Without the limit it receives as many as before, and more than the
+// others, because it answers fast.
 func TestEndpointGetsNoMoreThanItsReportedRate(t *testing.T) {
 	const (
 		endpoints = 6
 		perSecond = 150
-		grace     = 3 * time.Second // for what is under way, and for processes to learn of it
+		grace     = 3 * time.Second // for requests in flight, and for the report to reach all processes
 		span      = 4 * time.Second
 		factor    = 1.5
 		slack     = 5
@@ -203,11 +204,11 @@
 			allowed := factor*c.rate*span.Seconds() + slack
 			peak := f.peak("w0", limited.Add(grace), span)
 			qt.Check(t, float64(peak) <= allowed, qt.IsTrue, qt.Commentf("%d requests in %s, %.1f allowed", peak, span, allowed))
-			qt.Check(t, f.refused, qt.Equals, 0, qt.Commentf("the others have room"))
+			qt.Check(t, f.refused, qt.Equals, 0, qt.Commentf("the other endpoints have capacity"))
 			got := float64(len(f.arrivals["w0"]) - before)
 			sharers := min(1, math.Max(1, math.Floor(c.rate))/float64(c.processes))
 			expected := min(c.rate, sharers*perSecond/endpoints) * lasts.Seconds()
-			qt.Check(t, got >= expected/2, qt.IsTrue, qt.Commentf("%.0f of %.0f that processes with a part of the rate have for it", got, expected))
+			qt.Check(t, got >= expected/2, qt.IsTrue, qt.Commentf("%.0f of %.0f requests that processes with a share of the rate have for it", got, expected))
 
 			f.respond = func(carawayspread.EndpointID, int) (int, http.Header) { return http.StatusOK, http.Header{} }
 			f.run(3*time.Second, time.Second/perSecond)
@@ -219,8 +220,8 @@
 	}
 }
 
-// The only endpoint of a service takes few requests: the others are refused at once, by
-// an answer that says that they have not run and when to come back.
+// Guards against sending or delaying requests above the rate of a service's only endpoint: they must
+// be refused at once, with the proof that they have not run and a Retry-After.
 func TestRequestsAboveTheRateAreRefusedAtOnce(t *testing.T) {
 	f := newFeedbackFleet(1, 1)
 	f.respond = func(carawayspread.EndpointID, int) (int, http.Header) {
--- a/internal/process/gateway/retryafter_test.go
+++ b/internal/process/gateway/retryafter_test.go
@@ -11,8 +11,8 @@
 	"carawayspread"
 )
 
-// An endpoint turns requests away and says for how long it wants none from this process:
-// each request tried it all the same, and found out again.
+// Guards against sending requests to an endpoint that refused one with a Retry-After, before that
+// time is over. The Retry-After holds for the process that received it.
 func TestEndpointGetsNothingDuringItsRetryAfter(t *testing.T) {
 	const (
 		endpoints  = 4
@@ -21,7 +21,7 @@
 	)
 	for name, c := range map[string]struct {
 		processes    int
-		provesNotRun bool // the refusal says that the request has not run
+		provesNotRun bool // the refusal proves that the request has not run
 	}{
 		"one process":                   {1, true},
 		"each process by itself":        {4, true},
@@ -30,7 +30,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFeedbackFleet(c.processes, endpoints)
 			f.run(time.Second, step)
-			refusedAt := map[int]time.Time{} // by process: when it was last asked for a pause
+			refusedAt := map[int]time.Time{} // by process: when it was last refused
 			sentDuring := 0
 			f.respond = func(id carawayspread.EndpointID, process int) (int, http.Header) {
 				if id != "w0" {
@@ -49,15 +49,15 @@
 			}
 			f.run(10*time.Second, step)
 			qt.Check(t, sentDuring, qt.Equals, 0)
-			qt.Check(t, refusedAt, qt.HasLen, c.processes, qt.Commentf("one process's pause is not another's"))
+			qt.Check(t, refusedAt, qt.HasLen, c.processes, qt.Commentf("each process is refused for itself"))
 			if c.provesNotRun {
-				qt.Check(t, f.refused, qt.Equals, 0, qt.Commentf("the others have room"))
+				qt.Check(t, f.refused, qt.Equals, 0, qt.Commentf("the other endpoints have capacity"))
 			}
 		})
 	}
 }
 
-// A reader that turns a prompt away asks for a pause as any endpoint does.
+// Guards against ignoring the Retry-After of a prefill engine that refuses a prompt.
 func TestPrefillEngineGetsNothingDuringItsRetryAfter(t *testing.T) {
 	b := newHarness(t, answer(503, "Retry-After", "5", "Carawayspread-Server-Seal", ""), events(1, 2, io.EOF))
 	b.engines(carawayspread.RolePrefill, carawayspread.RoleDecode, carawayspread.RoleDecode)
@@ -81,8 +81,8 @@
 	qt.Check(t, post(), qt.Equals, 1)
 }
 
-// All endpoints of a service ask for a pause: its callers are refused at once and told
-// when the first of these ends.
+// Guards against a refusal without the right Retry-After: when all endpoints of a service refuse
+// with a Retry-After, callers are refused at once and get the time until the earliest one ends.
 func TestRefusalCarriesTheEarliestRetryAfter(t *testing.T) {
 	f := newFeedbackFleet(1, 2)
 	f.respond = func(id carawayspread.EndpointID, _ int) (int, http.Header) {
--- a/internal/process/gateway/shutdown_test.go
+++ b/internal/process/gateway/shutdown_test.go
@@ -16,11 +16,11 @@
 	"carawayspread"
 )
 
-// stallingTransport is a carawayspread.EndpointTransport of endpoints that hold requests for ever: those of
-// the last step, after the steps before it.
+// stallingTransport is a carawayspread.EndpointTransport that follows the script, and then never
+// answers any more.
 type stallingTransport struct {
 	scriptedTransport
-	stalled chan struct{} // gets a word for each request that is stalled
+	stalled chan struct{} // receives one value for each request that stalls
 }
 
 func (h *stallingTransport) Send(ctx context.Context, to carawayspread.Endpoint, out carawayspread.Outbound) (*carawayspread.Reply, error) {
@@ -39,7 +39,7 @@
 	return nil, ctx.Err()
 }
 
-// stallingBody has no end after its last byte, unless it is an error.
+// stallingBody blocks after its last byte where the scripted body ends with io.ErrNoProgress.
 type stallingBody struct {
 	io.ReadCloser
 	ctx     context.Context
@@ -48,7 +48,7 @@
 
 func (b *stallingBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
-	if n > 0 || err != io.ErrNoProgress { //nolint:errorlint // a mark, never wrapped
+	if n > 0 || err != io.ErrNoProgress { //nolint:errorlint // a sentinel, never wrapped
 		return n, err
 	}
 	b.stalled <- struct{}{}
@@ -56,7 +56,7 @@
 	return 0, b.ctx.Err()
 }
 
-// begins answers with some events, and then nothing.
+// stallAfter answers with the events up to last, and then stalls.
 func stallAfter(last int) step {
 	return func(s sentAttempt) (*carawayspread.Reply, error) {
 		var b strings.Builder
@@ -67,27 +67,27 @@
 	}
 }
 
-// Guards against a request that is left without an answer, or with one that is not true,
-// where its endpoint still holds it as the process ends.
+// Guards against requests that get no answer, or one that misstates whether they have run, because
+// their endpoint has stalled on them when the process ends.
 func TestStalledRequestsAreAnsweredAtShutdown(t *testing.T) {
 	const all = "id: 1\ndata: part 1\n\nid: 2\ndata: part 2\n\n"
 	for name, c := range map[string]struct {
 		steps      []step
-		prefill    bool // one engine reads prompts for the others
+		prefill    bool // one engine prefills for the others
 		path       string
 		headers    []string
 		status     int
 		retryAfter bool
-		body       string // what came before the answer broke off; empty where it did not
+		body       string // what arrived before the answer broke off; empty where it did not break off
 	}{
-		"a safe one":                    {path: "/safe/x", status: 504},
-		"one that must not run twice":   {path: "/never/x", status: 504},
-		"its second attempt":            {steps: []step{truncated()}, path: "/safe/x", status: 504},
-		"after a refusal":               {steps: []step{notRun(503)}, path: "/never/x", status: 504},
-		"a stream without an event":     {path: "/resume/x", headers: []string{tokens, "5000,50"}, status: 504},
-		"a stream in its middle":        {steps: []step{stallAfter(2)}, path: "/resume/x", headers: []string{tokens, "5000,50"}, status: 200, body: all},
-		"a prompt that is being read":   {prefill: true, path: "/once/x", headers: []string{tokens, "5000,50"}, status: 503, retryAfter: true},
-		"a prompt that was read before": {steps: []step{kvHandle()}, prefill: true, path: "/once/x", headers: []string{tokens, "5000,50"}, status: 504},
+		"idempotent":              {path: "/safe/x", status: 504},
+		"must not run twice":      {path: "/never/x", status: 504},
+		"second attempt":          {steps: []step{truncated()}, path: "/safe/x", status: 504},
+		"after a refusal":         {steps: []step{notRun(503)}, path: "/never/x", status: 504},
+		"stream without an event": {path: "/resume/x", headers: []string{tokens, "5000,50"}, status: 504},
+		"stream after two events": {steps: []step{stallAfter(2)}, path: "/resume/x", headers: []string{tokens, "5000,50"}, status: 200, body: all},
+		"prompt in prefill":       {prefill: true, path: "/once/x", headers: []string{tokens, "5000,50"}, status: 503, retryAfter: true},
+		"prompt in decode":        {steps: []step{kvHandle()}, prefill: true, path: "/once/x", headers: []string{tokens, "5000,50"}, status: 504},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t)
@@ -122,8 +122,8 @@
 	}
 }
 
-// Guards against a caller that is reset where the process ends before it has sent all of
-// its request: nothing of it has run, and it can be told so.
+// Guards against resetting a caller that has sent only a part of its request when the process ends:
+// nothing has run, so it must get a refusal that says so.
 func TestPartlyReceivedRequestIsRefusedAtShutdown(t *testing.T) {
 	b := newHarness(t)
 	serving, end := context.WithCancelCause(context.Background())
--- a/internal/process/gateway/stall.go
+++ b/internal/process/gateway/stall.go
@@ -9,26 +9,25 @@
 )
 
 const (
-	// heldFactor and heldLeast say how long an endpoint may be silent, against
-	// what was expected, before it counts as one that holds requests.
+	// stallFactor and minStallWait say how long an endpoint may be silent, as a multiple of the
+	// expected time to the first event and at least, before it is checked for a stall.
 	//
-	// Failure: an endpoint holds some requests for ever and answers the rest,
-	// so that nothing breaks. Symptom: its callers leave one after the other,
-	// which proves nothing against it, and it goes on getting its share. What
-	// may be sent again is sent elsewhere then, and the endpoint is judged.
-	// Estimates are off by a factor of two at the worst tenth; from four on it is
-	// asked whether the endpoint has stalled.
+	// An endpoint may hold some requests forever and answer the others, so that no connection
+	// breaks. Without the check its callers leave one after the other, which proves nothing
+	// against the endpoint, and it keeps its share of the requests. A stalled attempt that may be
+	// retried goes to another endpoint, and counts as a failure of this one. Estimates are off by
+	// a factor of two in the worst tenth of the requests, so the check starts at four.
 	stallFactor  = 4
 	minStallWait = 300 * time.Millisecond
-	// heldAgain is the time between two looks after that.
+	// stallRecheckInterval is the time between two checks after the first.
 	stallRecheckInterval = 100 * time.Millisecond
 )
 
-// errHeld says that an endpoint held an attempt for too long.
-var errStalled = errors.New("the endpoint holds the request")
+// errStalled says that the endpoint has stalled and the attempt was ended.
+var errStalled = errors.New("the endpoint has stalled on the request")
 
-// patience ends the wait for the answer to an attempt that may be made again, as
-// soon as it takes long and the endpoint has stalled.
+// watchStall returns a context for one attempt. If enabled, the context ends with errStalled when
+// the answer is late and the tracker reports that the endpoint has stalled.
 func (c *call) watchStall(ctx context.Context, at carawayspread.Placement, tracker carawayspread.AttemptTracker, enabled bool) (context.Context, context.CancelFunc) {
 	attemptCtx, cancel := context.WithCancelCause(ctx)
 	if enabled {
@@ -49,7 +48,7 @@
 	return attemptCtx, func() { cancel(nil) }
 }
 
-// held returns the silence after which an endpoint counts as holding a request.
+// stallWait returns how long an attempt may take before its endpoint is checked for a stall.
 func stallWait(at carawayspread.Placement) time.Duration {
 	return max(minStallWait, stallFactor*at.TimeToFirstEvent)
 }
--- a/internal/process/gateway/stream.go
+++ b/internal/process/gateway/stream.go
@@ -12,7 +12,7 @@
 
 var idField = []byte("id:")
 
-// eventID returns the identifier of an event; empty where it has none.
+// eventID returns the identifier of an event; empty if it has none.
 func eventID(event []byte) string {
 	for line := range bytes.Lines(event) {
 		if rest, ok := bytes.CutPrefix(line, idField); ok {
@@ -22,8 +22,8 @@
 	return ""
 }
 
-// stream passes an answer on event by event. What an endpoint sent of an event
-// that it did not finish never reaches the caller.
+// relayStream relays an answer event by event. An incomplete event at the end of a broken answer
+// never reaches the caller.
 func (c *call) relayStream(reply *carawayspread.Reply, tracker carawayspread.AttemptTracker) (carawayspread.Outcome, error) {
 	defer func() { _ = reply.Body.Close() }()
 	flush := http.NewResponseController(c.w)
--- a/internal/process/gateway/suspend_test.go
+++ b/internal/process/gateway/suspend_test.go
@@ -10,14 +10,13 @@
 	"carawayspread"
 )
 
-// Callers after the first are served at once: an endpoint whose address another
-// instance has, or that takes no connection, gets nothing for a while although
-// its entry is still listed, and is tried again after it. Without it every request
-// goes there first, since it looks idle, until the common retries are used up.
+// Guards against a listed endpoint that is gone: another instance has its address, or it accepts no
+// connection. It must be suspended for a while and used again afterwards. Otherwise every request
+// is placed there first, since it looks idle, until the retry budget is exhausted.
 func TestUnreachableEndpointIsSuspended(t *testing.T) {
 	tests := map[string]struct {
 		first   []step
-		atLeast time.Duration // out of use
+		atLeast time.Duration // time for which the endpoint must get nothing
 	}{
 		"another has its address": {[]step{answer(421)}, 3900 * time.Millisecond},
 		"two take no connection":  {[]step{unreachable(), unreachable()}, 400 * time.Millisecond},
--- a/internal/process/reporter/reporter.go
+++ b/internal/process/reporter/reporter.go
@@ -1,9 +1,9 @@
-// Package reporter makes the load reports of a sidecar: most carry the load
-// alone, and a full one with what seldom changes comes now and then.
+// Package reporter builds the load reports of a sidecar. Most are partial and carry only the load;
+// full reports, sent periodically and after a change, also carry the endpoint states, which seldom
+// change.
 //
-// Grounds for its figures: four endpoints take 70 bytes in a partial report and
-// 120 or more in a full one. With a full one in six an entry that lost one is
-// without the sidecar's load for at most five reports.
+// Four endpoints take 70 bytes in a partial report and 120 or more in a full one. With one full
+// report in six, an entry that lost a full report lacks the sidecar's load for at most five reports.
 package reporter
 
 import (
@@ -20,46 +20,46 @@
 )
 
 const (
-	// reportsPerFull is the number of reports among which one is full.
+	// reportsPerFull is the number of reports of which at least one is full.
 	reportsPerFull = 6
-	// fullRepeats is how many full reports in a row tell of a change, since one
-	// may be lost.
+	// fullRepeats is how many full reports are sent in a row after a change, since one may be
+	// lost.
 	fullRepeats = 2
-	// rateTolerance is the part by which a measured rate must change to be told
-	// before the next full report; rates swing with every prompt.
+	// rateTolerance is the relative change of a measured rate that does not trigger a full report.
+	// Rates vary with every prompt.
 	rateTolerance = 0.2
 )
 
-// Reporter makes the reports of one sidecar. It is safe for concurrent use.
+// Reporter builds the reports of one sidecar. It is safe for concurrent use.
 type Reporter struct {
 	instance string
 
 	mu          sync.Mutex
-	sequence    uint64 // of the last report; starts at the time of the start
-	sinceFull   uint32 // reports since the full one
-	pendingFull int    // full reports that are still to be sent at once
+	sequence    uint64 // of the last report; starts at the start time in milliseconds
+	sinceFull   uint32 // reports since the last full one
+	pendingFull int    // full reports to be sent next
 	lastFull    []*control.EndpointState
 	fullBytes   int // size of the last full report; zero before the first
 	loadBytes   int // size of the last report without endpoints
 }
 
-// New returns the reporter of an instance that starts now. A sidecar that is
-// started again counts on above its predecessor, which made fewer than a
-// thousand reports a second.
+// New returns the reporter of an instance that starts now. The sequence numbers of a restarted
+// sidecar continue above those of its predecessor, as that sent fewer than a thousand reports a
+// second.
 func New(instance string, now time.Time) *Reporter {
 	return &Reporter{instance: instance, sequence: uint64(now.UnixMilli()), pendingFull: fullRepeats}
 }
 
-// ForceFull makes the next reports full ones, for entries that are new.
+// ForceFull makes the next reports full ones. It is called when entries have joined.
 func (r *Reporter) ForceFull() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.pendingFull = fullRepeats
 }
 
-// Next returns the next report. The loads are always in the same order.
-func (r *Reporter) Next(loads []*control.EndpointLoad, held carawayspread.Version, draining bool) *control.LoadReport {
-	next := &control.LoadReport{Instance: r.instance, ConfigVersion: uint64(held), Draining: draining}
+// Next returns the next report. The loads must always be in the same order.
+func (r *Reporter) Next(loads []*control.EndpointLoad, version carawayspread.Version, draining bool) *control.LoadReport {
+	next := &control.LoadReport{Instance: r.instance, ConfigVersion: uint64(version), Draining: draining}
 	addLoads(next, loads)
 	states := statesOf(loads)
 	r.mu.Lock()
@@ -88,7 +88,7 @@
 	r.fullBytes = report.Size(next)
 }
 
-// Bytes returns the mean size of the reports on the network.
+// Bytes returns the mean size of a report in bytes.
 func (r *Reporter) Bytes() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -138,7 +138,7 @@
 	return states
 }
 
-// same reports whether the next full report may be waited for.
+// unchanged reports whether the state can wait for the next periodic full report.
 func unchanged(last, state *control.EndpointState) bool {
 	if !withinTolerance(last.GetPrefillRate(), state.GetPrefillRate()) || !withinTolerance(last.GetDecodeRate(), state.GetDecodeRate()) {
 		return false
--- a/internal/process/reporter/reporter_test.go
+++ b/internal/process/reporter/reporter_test.go
@@ -10,8 +10,8 @@
 	"carawayspread/internal/process/reporter"
 )
 
-// An entry hears of what changed with the next two reports, and of what only
-// swings with the next full one.
+// Guards against changes that reach entries late: a change must be in the next two reports, as one
+// may be lost. Small variations of a rate wait for the periodic full report.
 func TestChangeIsReportedAtOnce(t *testing.T) {
 	tests := map[string]struct {
 		change func(*control.EndpointLoad, *reporter.Reporter)
@@ -20,7 +20,7 @@
 		"role":         {full: true, change: func(l *control.EndpointLoad, _ *reporter.Reporter) { l.Role = "decode" }},
 		"models":       {full: true, change: func(l *control.EndpointLoad, _ *reporter.Reporter) { l.Models = []string{"b"} }},
 		"rate doubled": {full: true, change: func(l *control.EndpointLoad, _ *reporter.Reporter) { l.DecodeRate *= 2 }},
-		"rate swings":  {full: false, change: func(l *control.EndpointLoad, _ *reporter.Reporter) { l.DecodeRate *= 1.1 }},
+		"rate varies":  {full: false, change: func(l *control.EndpointLoad, _ *reporter.Reporter) { l.DecodeRate *= 1.1 }},
 		"new entry":    {full: true, change: func(_ *control.EndpointLoad, r *reporter.Reporter) { r.ForceFull() }},
 		"load":         {full: false, change: func(l *control.EndpointLoad, _ *reporter.Reporter) { l.Running++ }},
 	}
