--- a/internal/decision/fairqueue/scheduler.go
+++ b/internal/decision/fairqueue/scheduler.go
@@ -9,55 +9,51 @@
 )
 
 const (
-	// patience bounds the wait of a class whose target states no time to the
-	// first token or to the whole answer.
-	patience = 10 * time.Minute
-	// defaultMaxJobs bounds the memory of a queue: at about 300 bytes a job
-	// and 40 KB of body behind it, 4,096 jobs are what a thin instance holds.
+	// maxQueueWait bounds the wait of a class whose target sets no limit for the first token or the
+	// whole answer.
+	maxQueueWait = 10 * time.Minute
+	// defaultMaxJobs bounds the memory of a queue: with about 300 bytes per job and its body of
+	// 40 KB, 4,096 jobs are what a small instance can hold.
 	defaultMaxJobs = 4096
-	// unparkEach bounds the attempts at placing jobs again after each change.
-	// The others stay aside, so that jobs which wait for one busy endpoint do
-	// not hold those that can go elsewhere.
-	unparkEach = 4
-	// parkedFor is how long a job that could not be placed waits at most for
-	// the next attempt: a place that another process freed is not seen here.
-	parkedFor = 20 * time.Millisecond
-	// grace lets a job that found a free slot be sent although it is estimated
-	// to be late.
+	// unparkBatch bounds how many parked jobs are queued again after each change. The others stay
+	// parked, so that jobs waiting for one busy endpoint do not block those that can go to another.
+	unparkBatch = 4
+	// maxParkTime is the longest time until a job that could not be placed is tried again: capacity
+	// freed by other processes is not visible here.
+	maxParkTime = 20 * time.Millisecond
+	// grace lets a job that found a free slot be sent although it is estimated to be late.
 	grace = 50 * time.Millisecond
-	// caution is the factor on a predicted wait. A wait varies round its
-	// prediction: at 1.2 times the capacity a factor of 1.5 left 6.8% of the
-	// jobs to be refused late, 2 leaves 3.8%, at the same goodput; 3 leaves 1%
-	// and costs half a per cent of goodput at capacity.
-	caution = 2
-	// windowJobs is the window in mean jobs. Beside a caller at ten times its
-	// share, workspaces that used nine tenths of theirs got 97.0% of their
-	// answers in time with one job, 93.9% with four and 91.4% with eight.
+	// waitSafetyFactor multiplies the predicted wait, since actual waits vary around it. At 1.2
+	// times the capacity, a factor of 1.5 left 6.8% of the jobs to be refused late and 2 leaves
+	// 3.8%, at the same goodput; 3 leaves 1% but costs half a per cent of goodput at capacity.
+	waitSafetyFactor = 2
+	// windowJobs is the window in mean jobs. Beside a caller at ten times its share, workspaces
+	// that used nine tenths of their share got 97.0% of their answers in time with one job, 93.9%
+	// with four and 91.4% with eight.
 	windowJobs = 1
-	// creditJobs is what a workspace may leave unused and still take later. It
-	// evens out bursts within a second or so; in the same load four jobs raised
-	// 97.0% to 98.5%.
+	// creditJobs is the unused share, in mean jobs, that a workspace may use later. It smooths
+	// bursts within about a second; under the same load, four jobs raised 97.0% to 98.5%.
 	creditJobs = 4
 )
 
-// Scheduler is a carawayspread.Scheduler that shares slots fairly between
-// workspaces and, within that, serves the most urgent job first.
+// Scheduler is a carawayspread.Scheduler that shares slots fairly between workspaces and, within
+// that, serves the most urgent job first.
 type Scheduler struct {
-	clock    carawayspread.Clock
-	random   *rand.Rand
-	maxJobs  int
-	shares   *shares
-	byLatest ordered[*item] // all queued and parked jobs
-	ahead    ahead
-	rates    rates
-	drain    drain
-	queued   float64 // work of all queued and parked jobs
-	meanWork float64 // of one job, smoothed; zero before the first
-	items    map[*carawayspread.Job]*item
-	running  map[*carawayspread.Job]*item
-	parked   list.List                  // of *item that could not be placed, the oldest first
-	parkedAt time.Time                  // when the oldest of parked could not be placed
-	refused  []carawayspread.RefusedJob // evicted jobs, until Expired is asked
+	clock        carawayspread.Clock
+	random       *rand.Rand
+	maxJobs      int
+	shares       *shares
+	byLatest     indexedHeap[*item] // all queued and parked jobs
+	workByLatest histogram
+	rates        rates
+	drain        drainMeter
+	queued       float64 // work of all queued and parked jobs
+	meanWork     float64 // of one job, exponentially smoothed; zero before the first
+	items        map[*carawayspread.Job]*item
+	running      map[*carawayspread.Job]*item
+	parked       list.List                  // of *item that could not be placed, oldest first
+	unparkedAt   time.Time                  // when parked jobs were last queued again
+	refused      []carawayspread.RefusedJob // evicted and expired jobs until the next call of Expired
 }
 
 // Option sets an optional part of a Scheduler.
@@ -70,22 +66,22 @@
 	return New(env)
 })
 
-// New returns an empty queue with one slot, which Capacity replaces.
+// New returns an empty queue with one slot; Capacity sets the actual number.
 func New(env carawayspread.Environment, opts ...Option) *Scheduler {
 	now := env.Clock.Now()
 	s := &Scheduler{
-		clock:   env.Clock,
-		random:  env.Rand,
-		maxJobs: defaultMaxJobs,
-		shares:  newShares(),
-		ahead:   ahead{epoch: now},
-		rates:   newRates(now),
-		drain:   drain{slots: 1, updated: now},
-		items:   map[*carawayspread.Job]*item{},
-		running: map[*carawayspread.Job]*item{},
-		byLatest: ordered[*item]{
+		clock:        env.Clock,
+		random:       env.Rand,
+		maxJobs:      defaultMaxJobs,
+		shares:       newShares(),
+		workByLatest: histogram{epoch: now},
+		rates:        newRates(now),
+		drain:        drainMeter{slots: 1, updated: now},
+		items:        map[*carawayspread.Job]*item{},
+		running:      map[*carawayspread.Job]*item{},
+		byLatest: indexedHeap[*item]{
 			less:  func(a, b *item) bool { return a.latest.Before(b.latest) },
-			place: func(i *item) *int { return &i.inLatest },
+			index: func(i *item) *int { return &i.latestIndex },
 		},
 	}
 	for _, opt := range opts {
@@ -97,35 +93,34 @@
 // Offer queues the job or refuses it at once.
 func (s *Scheduler) Offer(job *carawayspread.Job) error {
 	now := s.tick()
-	s.rates.age(now)
+	s.rates.decay(now)
 	i := &item{
-		job:      job,
-		flow:     s.shares.flow(job.Workspace),
-		latest:   s.rates.latestSend(job),
-		work:     s.rates.work(job.Cost),
-		inFlow:   -1,
-		inLatest: -1,
+		job:         job,
+		flow:        s.shares.flow(job.Workspace),
+		latest:      s.rates.latestSend(job),
+		work:        s.rates.work(job.Cost),
+		flowIndex:   -1,
+		latestIndex: -1,
 	}
 	if err := s.admit(now, i); err != nil {
 		return err
 	}
-	s.learnWork(i.work)
+	s.updateMeanWork(i.work)
 	s.items[job] = i
 	s.enqueue(i)
 	return nil
 }
 
-// admit returns the refusal of a job that cannot be served in time. A job that
-// finds a free slot and nobody waiting is always admitted: it harms nobody,
-// and its answer corrects an estimate that would otherwise refuse every job
-// and never be measured again.
+// admit returns an error when the job cannot be served in time. A job that finds a free slot and an
+// empty queue is always admitted: it delays no other job, and its answer corrects an estimate that
+// would otherwise refuse every job and never be measured again.
 func (s *Scheduler) admit(now time.Time, i *item) *carawayspread.Error {
 	idle := len(s.items) == 0 && len(s.running) < s.drain.slots
 	expired := !i.job.Deadline.IsZero() && i.job.Deadline.Before(now)
 	if idle && !expired {
 		i.latest = later(i.latest, now.Add(grace))
 	}
-	i.slot = s.ahead.slot(now, i.latest)
+	i.bucket = s.workByLatest.bucket(now, i.latest)
 	if idle && !expired {
 		return nil
 	}
@@ -133,52 +128,52 @@
 	if late > 0 {
 		return s.refusal(now, i, late)
 	}
-	if len(s.items) >= s.maxJobs || s.queued > s.drain.rate()*patience.Seconds() {
+	if len(s.items) >= s.maxJobs || s.queued > s.drain.rate()*maxQueueWait.Seconds() {
 		return s.makeRoom(now, i)
 	}
 	return nil
 }
 
-// wait predicts how long the job would wait. Two bounds hold, so the smaller
-// counts: what is at least as urgent goes first, and the workspace receives its
-// equal part after what it has queued itself.
+// wait predicts the queueing time of the job as the smaller of two upper bounds: the work that is
+// at least as urgent goes first, and the workspace receives its equal share after the work that it
+// has queued itself.
 func (s *Scheduler) wait(now time.Time, i *item) time.Duration {
-	urgent := s.ahead.until(now, i.slot)
+	urgent := s.workByLatest.until(now, i.bucket)
 	waiting := s.shares.backlogged()
 	if i.flow.jobs.Len() == 0 {
 		waiting++
 	}
-	lead := max(i.flow.tag-s.shares.virtual, -s.shares.credit)
+	lead := max(i.flow.tag-s.shares.virtualTime, -s.shares.credit)
 	own := max(0, i.flow.queued+lead+i.work/2) * float64(waiting)
-	return seconds(caution * min(urgent, own) / s.drain.rate())
+	return seconds(waitSafetyFactor * min(urgent, own) / s.drain.rate())
 }
 
-// makeRoom evicts the newest job of the workspace that asks for most beyond
-// its share, which may be the one that offers.
+// makeRoom evicts the newest job of the workspace whose queue extends furthest beyond its share. If
+// that is the workspace of the offered job, the offered job is refused instead.
 func (s *Scheduler) makeRoom(now time.Time, i *item) *carawayspread.Error {
 	over := seconds(s.queued / s.drain.rate())
 	if s.shares.backlogged() == 0 {
 		return s.refusal(now, i, over)
 	}
 	largest := s.shares.ends.top()
-	if largest == i.flow || largest.end() <= max(i.flow.tag, s.shares.virtual)+i.flow.queued+i.work {
+	if largest == i.flow || largest.end() <= max(i.flow.tag, s.shares.virtualTime)+i.flow.queued+i.work {
 		return s.refusal(now, i, over)
 	}
 	s.refuse(now, largest.newest(), over)
 	return nil
 }
 
-// refuse ends a queued or parked job.
+// refuse removes a queued or parked job and records its refusal.
 func (s *Scheduler) refuse(now time.Time, i *item, late time.Duration) {
-	s.forget(i)
+	s.dequeue(i)
 	s.refused = append(s.refused, carawayspread.RefusedJob{Job: i.job, Err: s.refusal(now, i, late)})
 }
 
-// Next returns the job that is to be sent now.
+// Next returns the job to be sent now.
 func (s *Scheduler) Next() *carawayspread.Job {
 	now := s.tick()
 	s.expire(now)
-	if s.parked.Len() > 0 && now.Sub(s.parkedAt) >= parkedFor {
+	if s.parked.Len() > 0 && now.Sub(s.unparkedAt) >= maxParkTime {
 		s.unpark(now)
 	}
 	if len(s.running) >= s.drain.slots {
@@ -188,14 +183,14 @@
 	if i == nil {
 		return nil
 	}
-	s.forget(i)
+	s.dequeue(i)
 	s.running[i.job] = i
 	i.flow.running++
 	s.shares.charge(i.flow, i.work)
 	return i.job
 }
 
-// Requeue puts back a job that could not be placed and returns its charge.
+// Requeue puts back a job that could not be placed and reverses its charge.
 func (s *Scheduler) Requeue(job *carawayspread.Job) {
 	now := s.tick()
 	i, ok := s.running[job]
@@ -204,15 +199,16 @@
 	}
 	s.release(i, 0)
 	s.items[job] = i
-	i.slot = s.ahead.slot(now, i.latest)
+	i.bucket = s.workByLatest.bucket(now, i.latest)
 	i.parking = s.parked.PushBack(i)
-	s.count(i)
+	s.track(i)
 	if len(s.items) > s.maxJobs {
 		s.shrink(now)
 	}
 }
 
-// shrink makes room for a job that came back while others took its place.
+// shrink evicts a job when a requeued job exceeds the limit because others took its place
+// meanwhile.
 func (s *Scheduler) shrink(now time.Time) {
 	over := seconds(s.queued / s.drain.rate())
 	if s.shares.backlogged() > 0 {
@@ -222,26 +218,26 @@
 	s.refuse(now, s.parked.Back().Value.(*item), over)
 }
 
-// Done frees the slot of the job and replaces its estimate by what it took.
-func (s *Scheduler) Done(job *carawayspread.Job, served carawayspread.JobResult) {
+// Done frees the slot of the job and replaces its estimated work by the measured work.
+func (s *Scheduler) Done(job *carawayspread.Job, result carawayspread.JobResult) {
 	now := s.tick()
 	i, ok := s.running[job]
 	if !ok {
 		return
 	}
 	work := 0.0
-	if served.Took > 0 {
-		s.rates.observe(now, served)
-		work = s.rates.work(served.Cost)
+	if result.Took > 0 {
+		s.rates.observe(now, result)
+		work = s.rates.work(result.Cost)
 	}
-	s.drain.ended(i.work, len(s.items) > 0 && served.Took > 0)
+	s.drain.ended(i.work, len(s.items) > 0 && result.Took > 0)
 	s.release(i, work)
 	s.unpark(now)
 }
 
-// Capacity sets the slots. Jobs that run beyond them end undisturbed. Only more
-// slots let parked jobs try again: a caller that lowers the capacity with every
-// job that it cannot place would get the same jobs for ever.
+// Capacity sets the number of slots. Running jobs beyond that number continue. Parked jobs are
+// queued again only when the number grows: a caller that lowers the capacity for every job that it
+// cannot place would otherwise receive the same jobs forever.
 func (s *Scheduler) Capacity(slots int) {
 	now := s.tick()
 	grew := slots > s.drain.slots
@@ -256,12 +252,12 @@
 	s.tick()
 	i, ok := s.items[job]
 	if ok {
-		s.forget(i)
+		s.dequeue(i)
 	}
 	return ok
 }
 
-// Expired returns the jobs that got their final refusal since it was asked last.
+// Expired returns the jobs that were finally refused since the previous call.
 func (s *Scheduler) Expired() []carawayspread.RefusedJob {
 	s.expire(s.tick())
 	refused := s.refused
@@ -285,21 +281,21 @@
 }
 
 func (s *Scheduler) enqueue(i *item) {
-	s.count(i)
+	s.track(i)
 	s.shares.add(i.flow, i)
 }
 
-func (s *Scheduler) count(i *item) {
+func (s *Scheduler) track(i *item) {
 	s.byLatest.put(i)
-	s.ahead.add(i.slot, i.work)
+	s.workByLatest.add(i.bucket, i.work)
 	s.queued += i.work
 }
 
-// forget removes a queued or parked job from every order.
-func (s *Scheduler) forget(i *item) {
+// dequeue removes a queued or parked job from all queues.
+func (s *Scheduler) dequeue(i *item) {
 	delete(s.items, i.job)
 	s.byLatest.remove(i)
-	s.ahead.add(i.slot, -i.work)
+	s.workByLatest.add(i.bucket, -i.work)
 	s.queued = max(0, s.queued-i.work)
 	if i.parking == nil {
 		s.shares.remove(i)
@@ -309,7 +305,7 @@
 	i.parking = nil
 }
 
-// release takes a job out of the running ones and settles its charge.
+// release removes a job from the running ones and corrects its charge to work.
 func (s *Scheduler) release(i *item, work float64) {
 	delete(s.running, i.job)
 	i.flow.running--
@@ -317,8 +313,8 @@
 }
 
 func (s *Scheduler) unpark(now time.Time) {
-	s.parkedAt = now
-	for range min(unparkEach, s.parked.Len()) {
+	s.unparkedAt = now
+	for range min(unparkBatch, s.parked.Len()) {
 		i := s.parked.Remove(s.parked.Front()).(*item)
 		i.parking = nil
 		i.flow = s.shares.flow(i.job.Workspace)
@@ -326,7 +322,7 @@
 	}
 }
 
-func (s *Scheduler) learnWork(work float64) {
+func (s *Scheduler) updateMeanWork(work float64) {
 	const weight = 0.05
 	if s.meanWork == 0 {
 		s.meanWork = work
--- a/internal/decision/leastoutstanding/router.go
+++ b/internal/decision/leastoutstanding/router.go
@@ -1,6 +1,6 @@
-// Package leastoutstanding sends each job to the endpoint with the fewest
-// requests, by the last report and the attempts of this entry. It is a
-// baseline that other routers are compared with: it looks at every endpoint.
+// Package leastoutstanding sends each job to the endpoint with the fewest requests, by the last
+// report and the attempts of this entry. It is a baseline that other routers are compared with: it
+// examines every endpoint.
 package leastoutstanding
 
 import (
@@ -9,13 +9,12 @@
 	"carawayspread"
 )
 
-// Router is a carawayspread.Router that takes the endpoint with the fewest
-// requests.
+// Router is a carawayspread.Router that chooses the endpoint with the fewest requests.
 type Router struct {
-	mu        sync.Mutex
-	endpoints []carawayspread.Endpoint
-	reported  map[carawayspread.EndpointID]carawayspread.EndpointReport
-	since     map[carawayspread.EndpointID]int // own attempts started less ended since the report
+	mu          sync.Mutex
+	endpoints   []carawayspread.Endpoint
+	reported    map[carawayspread.EndpointID]carawayspread.EndpointReport
+	sinceReport map[carawayspread.EndpointID]int // own attempts started minus ended since the report
 }
 
 var _ = carawayspread.Routers.Register("leastOutstanding", func(carawayspread.Environment) carawayspread.Router {
@@ -25,8 +24,8 @@
 // New returns a router without endpoints.
 func New() *Router {
 	return &Router{
-		reported: map[carawayspread.EndpointID]carawayspread.EndpointReport{},
-		since:    map[carawayspread.EndpointID]int{},
+		reported:    map[carawayspread.EndpointID]carawayspread.EndpointReport{},
+		sinceReport: map[carawayspread.EndpointID]int{},
 	}
 }
 
@@ -37,16 +36,16 @@
 	r.endpoints = endpoints
 }
 
-// Reported keeps the report.
+// Reported stores the report.
 func (r *Router) Reported(report carawayspread.EndpointReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reported[report.Endpoint] = report
-	r.since[report.Endpoint] = 0
+	r.sinceReport[report.Endpoint] = 0
 }
 
-// Pick returns the free endpoint with the fewest requests.
-func (r *Router) Pick(_ *carawayspread.Job, standing func(carawayspread.EndpointID) carawayspread.Availability) carawayspread.Choice {
+// Pick returns the available endpoint with the fewest requests.
+func (r *Router) Pick(_ *carawayspread.Job, availability func(carawayspread.EndpointID) carawayspread.Availability) carawayspread.Choice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	choice, least := carawayspread.Choice{}, 0
@@ -55,11 +54,11 @@
 		if endpoint.Leaving() || report.Draining || report.Crashed {
 			continue
 		}
-		switch standing(endpoint.ID()) {
+		switch availability(endpoint.ID()) {
 		case carawayspread.AvailabilityBusy:
 			choice.Wait = true
 		case carawayspread.AvailabilityFree:
-			outstanding := report.Running + report.Waiting + r.since[endpoint.ID()]
+			outstanding := report.Running + report.Waiting + r.sinceReport[endpoint.ID()]
 			if choice.Endpoint == "" || outstanding < least {
 				choice.Endpoint, least = endpoint.ID(), outstanding
 			}
@@ -72,7 +71,7 @@
 // Sent counts an attempt of this entry.
 func (r *Router) Sent(id carawayspread.EndpointID, _ *carawayspread.Job) { r.count(id, 1) }
 
-// Ended counts it off.
+// Ended removes an attempt from the count.
 func (r *Router) Ended(id carawayspread.EndpointID, _ *carawayspread.Job, _ carawayspread.Outcome) {
 	r.count(id, -1)
 }
@@ -80,5 +79,5 @@
 func (r *Router) count(id carawayspread.EndpointID, by int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.since[id] += by
+	r.sinceReport[id] += by
 }
--- a/internal/process/gateway/authenticate.go
+++ b/internal/process/gateway/authenticate.go
@@ -30,7 +30,7 @@
 // must be accepted.
 func WithConfigFreshness(freshness carawayspread.ConfigFreshness, revoked, added time.Duration) Option {
 	return func(g *Gateway) {
-		g.freshness, g.keyPolicy = freshness, authentication.Policy{Revoked: revoked, Added: added}
+		g.freshness, g.keyPolicy = freshness, authentication.Policy{RevocationBound: revoked, ActivationBound: added}
 	}
 }
 
@@ -44,11 +44,11 @@
 // known, no route requires a key, or no time is guaranteed for revoked keys.
 func (g *Gateway) CanAuthenticate() bool {
 	routing := g.routing.Load()
-	if routing == nil || routing.Keyring() == nil || g.keyPolicy.Revoked <= 0 {
+	if routing == nil || routing.Keyring() == nil || g.keyPolicy.RevocationBound <= 0 {
 		return true
 	}
 	age, known := g.freshness.Age()
-	return known && age <= g.keyPolicy.Revoked
+	return known && age <= g.keyPolicy.RevocationBound
 }
 
 // routeAndAuthenticate finds the route of the request and the workspace of its API key. Where the
@@ -62,7 +62,7 @@
 			return err
 		}
 		token, cause := c.credential()
-		verdict := c.authenticate(authentication.Query{Token: token, Age: age, Known: known, Current: current})
+		verdict := c.authenticate(authentication.Query{Token: token, Age: age, AgeKnown: known, Current: current})
 		switch {
 		case verdict == authentication.Accept:
 			return nil
@@ -101,7 +101,7 @@
 	if q.Keyring = c.routing.Keyring(); q.Keyring == nil {
 		return authentication.Accept
 	}
-	q.Rejected = c.g.rejections.Holds(carawayspread.DigestKey(q.Token))
+	q.Rejected = c.g.rejections.Contains(carawayspread.DigestKey(q.Token))
 	workspace, verdict := c.g.keyPolicy.Decide(q)
 	switch {
 	case verdict == authentication.Accept:
--- a/internal/process/gateway/authenticate_test.go
+++ b/internal/process/gateway/authenticate_test.go
@@ -36,7 +36,7 @@
 	b := newHarness(t)
 	b.gateway.Adopt(keyedRouting(2, "revoked"))
 	b.gateway.freshness = refreshingConfig{func() { b.gateway.Adopt(keyedRouting(3, "other")) }}
-	b.gateway.keyPolicy.Revoked = time.Second
+	b.gateway.keyPolicy.RevocationBound = time.Second
 	resp, _, err := b.post(t, "/never/x", "body", "Authorization", "Bearer revoked")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, resp.StatusCode, qt.Equals, 401)
--- a/internal/process/gateway/call.go
+++ b/internal/process/gateway/call.go
@@ -67,7 +67,7 @@
 var errIncomplete = errors.New("the endpoint returned no complete answer")
 
 func (c *call) serve() {
-	c.g.budget(c.service.Name).Took()
+	c.g.budget(c.service.Name).CountRequest()
 	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline)
 	defer cancel()
 	c.exclude = map[carawayspread.EndpointID]bool{}
@@ -102,7 +102,7 @@
 func (c *call) placementRequest() carawayspread.PlacementRequest {
 	p := carawayspread.PlacementRequest{
 		Route: c.route, Service: c.service, Arrived: c.arrived, Deadline: c.deadline,
-		Exclude: c.g.backpressure.Withheld(c.exclude), Bytes: len(c.body), Fingerprint: c.fingerprint, SingleEndpoint: c.singleEndpoint, Admitted: c.singleEndpoint || c.ran > 0,
+		Exclude: c.g.backpressure.AddUnavailable(c.exclude), Bytes: len(c.body), Fingerprint: c.fingerprint, SingleEndpoint: c.singleEndpoint, Admitted: c.singleEndpoint || c.ran > 0,
 		TargetMissed: c.metadata.TimeLeft > 0 && c.metadata.TimeLeft < time.Duration(targetMissedShare*float64(c.route.Timeout)),
 	}
 	if c.service.Engine != nil {
@@ -249,7 +249,7 @@
 // endpointAnswered withdraws recent crashes of the endpoint where the answer shows that it kept
 // running, also at the peers.
 func (c *call) endpointAnswered(at carawayspread.Placement, sentAt time.Time) {
-	for _, fingerprint := range c.g.quarantine.Alive(at.Endpoint.ID(), sentAt) {
+	for _, fingerprint := range c.g.quarantine.EndpointAnswered(at.Endpoint.ID(), sentAt) {
 		c.g.reportCrash(fingerprint, at.Endpoint.ID(), true)
 	}
 }
--- a/internal/process/gateway/feedback.go
+++ b/internal/process/gateway/feedback.go
@@ -15,7 +15,7 @@
 
 // WithFeedback sets the function that forwards an endpoint's feedback to peers, and the processes
 // that share the rate an endpoint reports.
-func WithFeedback(forward func(carawayspread.EndpointID, carawayspread.Feedback), fleet backpressure.Fleet) Option {
+func WithFeedback(forward func(carawayspread.EndpointID, carawayspread.Feedback), fleet backpressure.Membership) Option {
 	return func(g *Gateway) {
 		g.forwardFeedback = forward
 		g.backpressure = backpressure.New(g.clock, fleet)
@@ -27,7 +27,7 @@
 
 // ApplyPeerFeedback applies the feedback of an endpoint in an answer that a peer received.
 func (g *Gateway) ApplyPeerFeedback(id carawayspread.EndpointID, f carawayspread.Feedback) {
-	if g.backpressure.Heard(id, f) {
+	if g.backpressure.ObservePeerFeedback(id, f) {
 		g.logFeedback(id, f, "peer")
 	}
 }
@@ -43,13 +43,13 @@
 	var changed, forward bool
 	switch {
 	case kind == carawayspread.ReplyNotRun || kind == carawayspread.ReplyAnswer && f.RetryAfter > 0:
-		changed, forward = c.g.backpressure.Refused(id, f)
+		changed, forward = c.g.backpressure.ObserveRefusal(id, f)
 	case kind == carawayspread.ReplyAnswer:
-		changed, forward = c.g.backpressure.Answered(id, sentAt, f)
+		changed, forward = c.g.backpressure.ObserveResponse(id, sentAt, f)
 	case kind == carawayspread.ReplyInconclusive:
 		// An inconclusive reply may not come from the endpoint at all. It can only make this
 		// process wait, and is not forwarded.
-		changed, _ = c.g.backpressure.Refused(id, carawayspread.Feedback{RetryAfter: f.RetryAfter})
+		changed, _ = c.g.backpressure.ObserveRefusal(id, carawayspread.Feedback{RetryAfter: f.RetryAfter})
 	}
 	if changed {
 		c.g.logFeedback(id, f, "answer")
@@ -96,7 +96,7 @@
 // because of its own feedback accepts requests again.
 func (c *call) withRetryAfter(err error) error {
 	refusal, ok := carawayspread.AsError(err)
-	reopens := c.g.backpressure.Opens((*c.g.endpoints.Load())[c.service.Name])
+	reopens := c.g.backpressure.TimeToAvailable((*c.g.endpoints.Load())[c.service.Name])
 	if !ok || refusal.Code() != carawayspread.CodeNoEndpoint || reopens <= refusal.RetryAfter() {
 		return err
 	}
--- a/internal/process/gateway/gateway.go
+++ b/internal/process/gateway/gateway.go
@@ -61,7 +61,7 @@
 	// backpressure holds the feedback of endpoints.
 	backpressure    *backpressure.Backpressure
 	forwardFeedback func(carawayspread.EndpointID, carawayspread.Feedback)
-	retryBudget     fleetbudget.Terms
+	retryBudget     fleetbudget.Limits
 	budgetProcesses func() int
 	reportCrash     func(fingerprint uint64, id carawayspread.EndpointID, withdrawn bool)
 	reportAnswer    func(fingerprint uint64)
@@ -89,7 +89,7 @@
 
 // WithRetryBudget sets how many attempts may be sent beyond the first ones, and the number of
 // processes that share the budget.
-func WithRetryBudget(budget fleetbudget.Terms, processes func() int) Option {
+func WithRetryBudget(budget fleetbudget.Limits, processes func() int) Option {
 	return func(g *Gateway) { g.retryBudget, g.budgetProcesses = budget, processes }
 }
 
@@ -114,10 +114,10 @@
 ) *Gateway {
 	g := &Gateway{
 		transport: transport, protocol: protocol, placer: placer, clock: clock, log: log, set: metrics.NewSet(),
-		quarantine:      quarantine.New(clock, quarantine.Term(quarantineDuration)),
+		quarantine:      quarantine.New(clock, quarantine.Duration(quarantineDuration)),
 		backpressure:    backpressure.New(clock, noPeers),
 		forwardFeedback: func(carawayspread.EndpointID, carawayspread.Feedback) {},
-		retryBudget:     fleetbudget.Terms{Ratio: 0.1, Slack: 10, Window: 10 * time.Second},
+		retryBudget:     fleetbudget.Limits{Ratio: 0.1, Slack: 10, Window: 10 * time.Second},
 		budgetProcesses: func() int { return 1 },
 		listAge:         func() time.Duration { return 0 },
 		reportCrash:     func(uint64, carawayspread.EndpointID, bool) {},
@@ -163,7 +163,7 @@
 
 // SetEndpoints replaces the endpoints of all services.
 func (g *Gateway) SetEndpoints(endpoints []carawayspread.Endpoint) {
-	endpoints = g.backpressure.Listed(endpoints)
+	endpoints = g.backpressure.ApplyList(endpoints)
 	byService := map[string][]carawayspread.Endpoint{}
 	if routing := g.routing.Load(); routing != nil {
 		for name := range routing.Services() {
@@ -182,20 +182,20 @@
 // RecordCrash records a crash of the endpoint with the request, or withdraws the record of one.
 func (g *Gateway) RecordCrash(fingerprint uint64, id carawayspread.EndpointID, withdrawn bool) {
 	if withdrawn {
-		g.quarantine.Withdraw(fingerprint, id)
+		g.quarantine.WithdrawCrash(fingerprint, id)
 		return
 	}
 	g.quarantine.Crashed(quarantine.Crash{Endpoint: id, At: g.clock.Now()}, []uint64{fingerprint}, nil)
 }
 
 // Refused returns the requests that are refused here and that peers may have answered.
-func (g *Gateway) Refused() []uint64 { return g.quarantine.Doubts() }
+func (g *Gateway) Refused() []uint64 { return g.quarantine.Refused() }
 
 // RefusedByPeer records the requests that a peer refuses.
-func (g *Gateway) RefusedByPeer(refused []uint64) { g.quarantine.Doubted(refused) }
+func (g *Gateway) RefusedByPeer(refused []uint64) { g.quarantine.RefusedByPeer(refused) }
 
 // AnsweredByPeer removes a request from quarantine that a peer answered.
-func (g *Gateway) AnsweredByPeer(fingerprint uint64) { g.quarantine.Cleared(fingerprint) }
+func (g *Gateway) AnsweredByPeer(fingerprint uint64) { g.quarantine.AnsweredByPeer(fingerprint) }
 
 // Drain makes the gateway accept, from restrictFrom on, only requests whose answers surely end
 // before end.
--- a/internal/process/gateway/gateway_test.go
+++ b/internal/process/gateway/gateway_test.go
@@ -151,7 +151,7 @@
 	b.lines = &bytes.Buffer{}
 	b.log = decisionlog.New(b.lines)
 	b.gateway = New(b.transport, wire.Protocol{}, b.placer, b.clock, b.log,
-		WithRetryBudget(fleetbudget.Terms{Ratio: 1, Slack: 10, Window: 10 * time.Second}, func() int { return 1 }))
+		WithRetryBudget(fleetbudget.Limits{Ratio: 1, Slack: 10, Window: 10 * time.Second}, func() int { return 1 }))
 	b.gateway.Adopt(carawayspread.NewRouting(1, []*carawayspread.Route{
 		route("safe", carawayspread.RetryIdempotent, false, 2),
 		route("never", carawayspread.RetryNever, false, 3),
@@ -339,7 +339,7 @@
 		steps = append(steps, notRun(503))
 	}
 	b := newHarness(t, steps...)
-	b.gateway.retryBudget = fleetbudget.Terms{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}
+	b.gateway.retryBudget = fleetbudget.Limits{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}
 	b.gateway.budgetProcesses = func() int { return 4 }
 	const requests = 50
 	for range requests {
