--- a/internal/daemon/entryd/decisions.go
+++ b/internal/daemon/entryd/decisions.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 
 	"carawayspread"
-	"carawayspread/internal/process/lane"
+	"carawayspread/internal/process/dispatcher"
 
 	"carawayspread/internal/decision/retrybudget"
 
@@ -16,8 +16,8 @@
 )
 
 // decisions returns the modules of a service: what the registries fall back to.
-func decisions(zone string, clock carawayspread.Clock) func(carawayspread.Service) lane.Modules {
-	return func(carawayspread.Service) lane.Modules {
+func decisions(zone string, clock carawayspread.Clock) func(carawayspread.Service) dispatcher.Modules {
+	return func(carawayspread.Service) dispatcher.Modules {
 		env := func() carawayspread.Environment {
 			return carawayspread.Environment{Clock: clock, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), Zone: zone}
 		}
@@ -25,7 +25,7 @@
 		router, _ := carawayspread.Routers.Get("")
 		limiter, _ := carawayspread.Limiters.Get("")
 		ejector, _ := carawayspread.Ejectors.Get("")
-		return lane.Modules{
+		return dispatcher.Modules{
 			Scheduler: scheduler(env()),
 			Router:    router(env()),
 			Ejector:   ejector(env()),
--- a/internal/process/lane/lane.go
+++ b/internal/process/dispatcher/dispatcher.go
@@ -1,7 +1,7 @@
-// Package lane carries the requests of one service from admission to a place
+// Package dispatcher carries the requests of one service from admission to a place
 // at an endpoint. It connects the decision modules, which know nothing of
 // waiting goroutines, with the goroutines of the requests.
-package lane
+package dispatcher
 
 import (
 	"context"
--- a/internal/process/lane/load_test.go
+++ b/internal/process/dispatcher/load_test.go
@@ -1,4 +1,4 @@
-package lane
+package dispatcher
 
 import (
 	"math/rand/v2"
--- a/internal/process/entry/attempt.go
+++ b/internal/process/entry/attempt.go
@@ -9,13 +9,13 @@
 
 	"carawayspread"
 	"carawayspread/internal/connection/sidecarhttp"
-	"carawayspread/internal/process/lane"
+	"carawayspread/internal/process/dispatcher"
 	"carawayspread/internal/request/call"
 )
 
 // attempt sends the call to one endpoint and follows its answer to the end.
 // final says that no other attempt may follow the failure.
-func (e *Entry) attempt(ctx context.Context, l *lane.Lane, c *call.Call, answer *relay, tried map[carawayspread.EndpointID]bool, n int) (failure *carawayspread.Error, final bool) {
+func (e *Entry) attempt(ctx context.Context, l *dispatcher.Lane, c *call.Call, answer *relay, tried map[carawayspread.EndpointID]bool, n int) (failure *carawayspread.Error, final bool) {
 	place, trial, refusal := e.taken(ctx, l, c, tried, n)
 	if refusal != nil {
 		return refusal, true
@@ -60,7 +60,7 @@
 // latency returns a measure of the endpoint that is comparable between
 // requests: the mean gap between tokens of an engine, the whole time of a
 // plain service; zero for none.
-func (e *Entry) latency(c *call.Call, place *lane.Place, firstByte time.Time, events int) time.Duration {
+func (e *Entry) latency(c *call.Call, place *dispatcher.Place, firstByte time.Time, events int) time.Duration {
 	now := e.clock.Now()
 	switch {
 	case c.Service().Kind() == carawayspread.KindPlain:
@@ -77,7 +77,7 @@
 
 // follow sends the attempt and passes the answer on. It returns the time of
 // the first byte, zero when none came.
-func (e *Entry) follow(ctx context.Context, c *call.Call, answer *relay, place *lane.Place, n int, trial bool) (*carawayspread.Error, time.Time) {
+func (e *Entry) follow(ctx context.Context, c *call.Call, answer *relay, place *dispatcher.Place, n int, trial bool) (*carawayspread.Error, time.Time) {
 	header := c.OutgoingHeader()
 	header.Set(sidecarhttp.HeaderFingerprint, sidecarhttp.FormatFingerprint(c.Job().Fingerprint))
 	header.Set(sidecarhttp.HeaderConfig, strconv.FormatUint(uint64(e.config.Current(ctx).Version()), 10))
--- a/internal/process/entry/entry.go
+++ b/internal/process/entry/entry.go
@@ -16,7 +16,7 @@
 	"carawayspread/internal/connection/openai"
 	"carawayspread/internal/connection/sidecarhttp"
 	"carawayspread/internal/decision/quarantine"
-	"carawayspread/internal/process/lane"
+	"carawayspread/internal/process/dispatcher"
 	"carawayspread/internal/request/call"
 )
 
@@ -50,13 +50,13 @@
 	clock    carawayspread.Clock
 	log      log.Interface
 	newID    func() string
-	modules  func(service carawayspread.Service) lane.Modules
+	modules  func(service carawayspread.Service) dispatcher.Modules
 	limits   call.Limits
 	stall    time.Duration
 	ledger   Ledger
 	suspects *quarantine.Quarantine
 	trials   Trials
-	lanes    atomic.Pointer[map[string]*lane.Lane] // by service, replaced as a whole
+	lanes    atomic.Pointer[map[string]*dispatcher.Lane] // by service, replaced as a whole
 	leaving  atomic.Bool
 	counters *counters
 }
@@ -86,7 +86,7 @@
 func WithTrials(t Trials) Option { return func(e *Entry) { e.trials = t } }
 
 // New returns an entry. modules gives the decision modules of a service.
-func New(config ConfigSource, modules func(carawayspread.Service) lane.Modules, opts ...Option) *Entry {
+func New(config ConfigSource, modules func(carawayspread.Service) dispatcher.Modules, opts ...Option) *Entry {
 	e := &Entry{
 		mux:      http.NewServeMux(),
 		config:   config,
@@ -100,7 +100,7 @@
 		trials:   noTrials{},
 		counters: newCounters(),
 	}
-	e.lanes.Store(&map[string]*lane.Lane{})
+	e.lanes.Store(&map[string]*dispatcher.Lane{})
 	for _, opt := range opts {
 		opt(e)
 	}
@@ -183,11 +183,11 @@
 		byService[endpoint.Service()] = append(byService[endpoint.Service()], endpoint)
 	}
 	old := *e.lanes.Load()
-	next := make(map[string]*lane.Lane, len(old))
+	next := make(map[string]*dispatcher.Lane, len(old))
 	for _, service := range cfg.Services() {
 		l, ok := old[service.Name()]
 		if !ok {
-			l = lane.New(e.modules(service), e.clock)
+			l = dispatcher.New(e.modules(service), e.clock)
 		}
 		l.Share(entries)
 		l.Update(byService[service.Name()])
@@ -197,7 +197,7 @@
 }
 
 // Lane returns the lane of a service; nil where the service is not known.
-func (e *Entry) Lane(service string) *lane.Lane { return (*e.lanes.Load())[service] }
+func (e *Entry) Lane(service string) *dispatcher.Lane { return (*e.lanes.Load())[service] }
 
 // Reported passes a load report to the lane of the service.
 func (e *Entry) Reported(service string, report carawayspread.EndpointReport) {
--- a/internal/process/entry/run.go
+++ b/internal/process/entry/run.go
@@ -9,7 +9,7 @@
 	"carawayspread"
 	"carawayspread/internal/connection/openai"
 	"carawayspread/internal/decision/retry"
-	"carawayspread/internal/process/lane"
+	"carawayspread/internal/process/dispatcher"
 	"carawayspread/internal/request/call"
 )
 
@@ -96,7 +96,7 @@
 // attempts runs the call until an attempt ends well or none may follow. After
 // an attempt that may have run, no later refusal may claim that the request
 // has not run.
-func (e *Entry) attempts(ctx context.Context, l *lane.Lane, c *call.Call, answer *relay) *carawayspread.Error {
+func (e *Entry) attempts(ctx context.Context, l *dispatcher.Lane, c *call.Call, answer *relay) *carawayspread.Error {
 	tried := map[carawayspread.EndpointID]bool{}
 	mayHaveRun := false
 	for n := 1; ; n++ {
--- a/internal/process/entry/suspects.go
+++ b/internal/process/entry/suspects.go
@@ -8,7 +8,7 @@
 	"carawayspread"
 	"carawayspread/internal/connection/sidecarhttp"
 	"carawayspread/internal/decision/quarantine"
-	"carawayspread/internal/process/lane"
+	"carawayspread/internal/process/dispatcher"
 	"carawayspread/internal/request/call"
 )
 
@@ -38,7 +38,7 @@
 
 // clear decides whether the call may run at the place, or returns the final
 // refusal. The endpoints that the call has crashed count as tried.
-func (e *Entry) clear(ctx context.Context, c *call.Call, place *lane.Place, tried map[carawayspread.EndpointID]bool) (clearance, *carawayspread.Error) {
+func (e *Entry) clear(ctx context.Context, c *call.Call, place *dispatcher.Place, tried map[carawayspread.EndpointID]bool) (clearance, *carawayspread.Error) {
 	fingerprint := c.Job().Fingerprint
 	verdict, refusal := e.suspects.Decide(quarantine.Attempt{Fingerprint: fingerprint, Displaced: place.Displaced()})
 	switch verdict {
@@ -67,7 +67,7 @@
 // one crash is known yet. Symptom: a trial that goes on to a third endpoint
 // crashes that one too. A trial never goes to an endpoint that the request has
 // crashed, and one with a victim goes to no endpoint but the request's own two.
-func (e *Entry) taken(ctx context.Context, l *lane.Lane, c *call.Call, tried map[carawayspread.EndpointID]bool, n int) (*lane.Place, bool, *carawayspread.Error) {
+func (e *Entry) taken(ctx context.Context, l *dispatcher.Lane, c *call.Call, tried map[carawayspread.EndpointID]bool, n int) (*dispatcher.Place, bool, *carawayspread.Error) {
 	place, err := l.Place(ctx, c.Job(), tried, e.placeUntil(c, n))
 	if err != nil {
 		return nil, false, typed(err)
