--- a/internal/daemon/entryd/control.go
+++ b/internal/daemon/entryd/control.go
@@ -23,13 +23,13 @@
 		Instance:      d.base.Settings().ID(),
 		Role:          string(carawayspread.InstanceEntry),
 		ConfigVersion: uint64(d.base.Config().Held().Version()),
-		Draining:      d.entry.Leaving(),
+		Draining:      d.entry.Draining(),
 	}, nil
 }
 
 // Drain makes the entry refuse new requests.
 func (d *Daemon) Drain(_ context.Context, req *control.DrainRequest) (*control.DrainResponse, error) {
-	d.entry.Leave()
+	d.entry.Drain()
 	d.base.Log().WithField("actor", req.GetActor()).Info("drain ordered")
 	return &control.DrainResponse{}, nil
 }
--- a/internal/daemon/entryd/daemon.go
+++ b/internal/daemon/entryd/daemon.go
@@ -38,7 +38,7 @@
 	ledger  *ledger.Ledger
 	changed chan struct{} // holds one word that the configuration changed
 	known   atomic.Pointer[directory]
-	loads   *loads.Loads // used by reported alone
+	loads   *loads.Completer // used by reported alone
 	routed  atomic.Int64 // endpoints that the entry was given
 	mu      sync.Mutex   // serialises updates of the entry's endpoints
 }
@@ -73,7 +73,7 @@
 
 func (d *Daemon) listen() error {
 	s := d.base.Settings()
-	ready := func() bool { return !d.entry.Leaving() && d.Known() > 0 }
+	ready := func() bool { return !d.entry.Draining() && d.Known() > 0 }
 	callers := http.NewServeMux()
 	callers.Handle("/", d.entry)
 	server.ObserveHealth(callers, ready)
@@ -133,7 +133,7 @@
 	case <-work.Done():
 		return work.Err()
 	}
-	d.entry.Leave()
+	d.entry.Drain()
 	d.base.Log().Info("entry leaves")
 	return d.base.Finish(work, d.data, d.data.Shutdown)
 }
--- a/internal/daemon/entryd/roles.go
+++ b/internal/daemon/entryd/roles.go
@@ -44,7 +44,7 @@
 		Clock: d.base.Clock(), Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), Zone: d.base.Settings().Zone(),
 	})
 	view := func() planner.View {
-		if l := d.entry.Lane(service); l != nil {
+		if l := d.entry.Dispatcher(service); l != nil {
 			return l
 		}
 		return nil
--- a/internal/daemon/sidecard/daemon.go
+++ b/internal/daemon/sidecard/daemon.go
@@ -44,9 +44,9 @@
 	d.reporter = reporter.New(b.Settings().ID(), b.Clock().Now())
 	d.entries.Store(&[]netip.AddrPort{})
 	s := b.Settings()
-	d.sidecar = sidecar.New(workers(s), sidecar.WithClock(b.Clock()), sidecar.WithLog(b.Log()), sidecar.WithHeard(b.Config().Heard),
-		sidecar.WithVictims(trial.New(b.Table(), b.Clock(), s.ID()+"/"+uuid.NewString())),
-		sidecar.WithAttempts(attempts.New(b.Clock())))
+	d.sidecar = sidecar.New(workers(s), sidecar.WithClock(b.Clock()), sidecar.WithLog(b.Log()), sidecar.WithVersionObserver(b.Config().Heard),
+		sidecar.WithCrashRecorder(trial.New(b.Table(), b.Clock(), s.ID()+"/"+uuid.NewString())),
+		sidecar.WithDeduplicator(attempts.New(b.Clock())))
 	var err error
 	if d.data, err = d.base.Listen(s.Listen(), d.sidecar); err != nil {
 		return nil, trace.Wrap(err)
--- a/internal/daemon/sidecard/orders.go
+++ b/internal/daemon/sidecard/orders.go
@@ -60,7 +60,7 @@
 // elsewhere, and from the next report; that it is open again they are told at
 // once.
 func (d *Daemon) quiet(ctx context.Context, id carawayspread.EndpointID) (func(), error) {
-	resume, err := d.sidecar.Quiet(ctx, id)
+	resume, err := d.sidecar.Quiesce(ctx, id)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/process/attempts/attempts.go
+++ b/internal/process/attempts/attempts.go
@@ -31,8 +31,8 @@
 	limit = 48_000
 )
 
-// Attempts remembers attempts. It is safe for concurrent use.
-type Attempts struct {
+// Deduplicator remembers attempts. It is safe for concurrent use.
+type Deduplicator struct {
 	clock carawayspread.Clock
 
 	mu      sync.Mutex
@@ -42,13 +42,13 @@
 }
 
 // New returns an empty memory.
-func New(clock carawayspread.Clock) *Attempts {
-	return &Attempts{clock: clock, turned: clock.Now(), newest: map[uint64]struct{}{}}
+func New(clock carawayspread.Clock) *Deduplicator {
+	return &Deduplicator{clock: clock, turned: clock.Now(), newest: map[uint64]struct{}{}}
 }
 
 // Accept remembers the attempt; false when it arrived before, or when the
 // memory is full.
-func (a *Attempts) Accept(id string) bool {
+func (a *Deduplicator) Accept(id string) bool {
 	hash := xxhash.Sum64String(id)
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -66,7 +66,7 @@
 	return true
 }
 
-func (a *Attempts) turn(now time.Time) {
+func (a *Deduplicator) turn(now time.Time) {
 	if now.Sub(a.turned) < window {
 		return
 	}
--- a/internal/process/dispatcher/demand.go
+++ b/internal/process/dispatcher/demand.go
@@ -36,7 +36,7 @@
 // Demand returns the work that this entry received since the last call, as
 // tokens a second, times the number of entries: the platform's balancer gives
 // each of them the same part.
-func (l *Lane) Demand(entries int) carawayspread.Demand {
+func (l *Dispatcher) Demand(entries int) carawayspread.Demand {
 	now := l.clock.Now()
 	l.demand.mu.Lock()
 	defer l.demand.mu.Unlock()
@@ -55,7 +55,7 @@
 }
 
 // Engines returns the engines of the service as their last reports show them.
-func (l *Lane) Engines() []carawayspread.RoleState {
+func (l *Dispatcher) Engines() []carawayspread.RoleState {
 	known := l.fleet.Load()
 	now := l.clock.Now()
 	engines := make([]carawayspread.RoleState, 0, len(known.slots))
--- a/internal/process/dispatcher/dispatcher.go
+++ b/internal/process/dispatcher/dispatcher.go
@@ -22,8 +22,8 @@
 	Limiter   func() carawayspread.Limiter // for each endpoint
 }
 
-// Lane serves one service. It is safe for concurrent use.
-type Lane struct {
+// Dispatcher serves one service. It is safe for concurrent use.
+type Dispatcher struct {
 	modules Modules
 	clock   carawayspread.Clock
 	fleet   atomic.Pointer[fleet] // replaced as a whole
@@ -41,11 +41,11 @@
 type fleet struct {
 	listed    []carawayspread.Endpoint
 	endpoints map[carawayspread.EndpointID]carawayspread.Endpoint
-	slots     map[carawayspread.EndpointID]*slot
+	slots     map[carawayspread.EndpointID]*endpointState
 }
 
-// slot counts the attempts of this entry at one endpoint.
-type slot struct {
+// endpointState counts the attempts of this entry at one endpoint.
+type endpointState struct {
 	limiter carawayspread.Limiter
 	taken   atomic.Int64
 
@@ -53,9 +53,9 @@
 	last carawayspread.EndpointReport // zero before the first report; guarded by mu
 }
 
-func (s *slot) full() bool { return s.taken.Load() >= int64(s.limiter.Limit()) }
+func (s *endpointState) full() bool { return s.taken.Load() >= int64(s.limiter.Limit()) }
 
-func (s *slot) acquire() bool {
+func (s *endpointState) acquire() bool {
 	if !s.limiter.Acquire() {
 		return false
 	}
@@ -63,14 +63,14 @@
 	return true
 }
 
-func (s *slot) release(latency time.Duration, outcome carawayspread.Outcome) {
+func (s *endpointState) release(latency time.Duration, outcome carawayspread.Outcome) {
 	s.taken.Add(-1)
 	s.limiter.Release(latency, outcome)
 }
 
 // New returns a lane without endpoints.
-func New(modules Modules, clock carawayspread.Clock) *Lane {
-	l := &Lane{
+func New(modules Modules, clock carawayspread.Clock) *Dispatcher {
+	l := &Dispatcher{
 		modules: modules,
 		clock:   clock,
 		tickets: map[*carawayspread.Job]chan *carawayspread.Error{},
@@ -82,19 +82,19 @@
 
 // Update replaces the endpoints of the service. Limits learnt for endpoints
 // that stay are kept.
-func (l *Lane) Update(endpoints []carawayspread.Endpoint) {
+func (l *Dispatcher) Update(endpoints []carawayspread.Endpoint) {
 	old := l.fleet.Load()
 	next := &fleet{
 		listed:    endpoints,
 		endpoints: make(map[carawayspread.EndpointID]carawayspread.Endpoint, len(endpoints)),
-		slots:     make(map[carawayspread.EndpointID]*slot, len(endpoints)),
+		slots:     make(map[carawayspread.EndpointID]*endpointState, len(endpoints)),
 	}
 	ids := make([]carawayspread.EndpointID, 0, len(endpoints))
 	for _, endpoint := range endpoints {
 		next.endpoints[endpoint.ID()] = endpoint
 		next.slots[endpoint.ID()] = old.slots[endpoint.ID()]
 		if next.slots[endpoint.ID()] == nil {
-			next.slots[endpoint.ID()] = &slot{limiter: l.modules.Limiter()}
+			next.slots[endpoint.ID()] = &endpointState{limiter: l.modules.Limiter()}
 		}
 		ids = append(ids, endpoint.ID())
 	}
@@ -105,21 +105,21 @@
 }
 
 // Budget returns the retry budget of the service.
-func (l *Lane) Budget() carawayspread.RetryBudget { return l.modules.Budget }
+func (l *Dispatcher) Budget() carawayspread.RetryBudget { return l.modules.Budget }
 
-// Share tells how many entries send to the endpoints.
-func (l *Lane) Share(entries int) { l.entries.Store(int64(entries)) }
+// SetEntryCount tells how many entries send to the endpoints.
+func (l *Dispatcher) SetEntryCount(entries int) { l.entries.Store(int64(entries)) }
 
-// Relist tells the router that the list was read and is unchanged, by which it
+// RefreshEndpoints tells the router that the list was read and is unchanged, by which it
 // forgets endpoints that left the list long ago.
-func (l *Lane) Relist() { l.modules.Router.SetEndpoints(l.fleet.Load().listed) }
+func (l *Dispatcher) RefreshEndpoints() { l.modules.Router.SetEndpoints(l.fleet.Load().listed) }
 
-// Full tells that an endpoint had no room for an attempt.
-func (l *Lane) Full() { l.window.Refused() }
+// RecordRefusal tells that an endpoint had no room for an attempt.
+func (l *Dispatcher) RecordRefusal() { l.window.Refused() }
 
 // Tick refuses what can no longer be served in time and takes in changed
 // limits. It is to be called many times a second.
-func (l *Lane) Tick() {
+func (l *Dispatcher) Tick() {
 	capacity := l.capacity()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -131,7 +131,7 @@
 // capacity returns how many requests this entry may have at the endpoints: its
 // window on the slots that reports tell, and no more than the limiters allow.
 // An endpoint that was not heard of yet counts by its limiter.
-func (l *Lane) capacity() int {
+func (l *Dispatcher) capacity() int {
 	slots, limits := 0, 0
 	known := l.fleet.Load()
 	for id, slot := range known.slots {
@@ -148,7 +148,7 @@
 
 // Wait returns nil when the job may be sent now; Finish must follow. Otherwise
 // it returns the refusal, which is not run.
-func (l *Lane) Wait(ctx context.Context, job *carawayspread.Job) error {
+func (l *Dispatcher) Wait(ctx context.Context, job *carawayspread.Job) error {
 	l.demand.add(job)
 	ready, err := l.offer(job)
 	if err != nil {
@@ -162,7 +162,7 @@
 	}
 }
 
-func (l *Lane) offer(job *carawayspread.Job) (chan *carawayspread.Error, error) {
+func (l *Dispatcher) offer(job *carawayspread.Job) (chan *carawayspread.Error, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err := l.modules.Scheduler.Offer(job); err != nil {
@@ -175,7 +175,7 @@
 	return ready, nil
 }
 
-func (l *Lane) withdraw(ctx context.Context, job *carawayspread.Job, ready chan *carawayspread.Error) error {
+func (l *Dispatcher) withdraw(ctx context.Context, job *carawayspread.Job, ready chan *carawayspread.Error) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.modules.Scheduler.Cancel(job) {
@@ -190,13 +190,13 @@
 
 // Finish returns the place of a job that Wait let through, with the work that
 // it took.
-func (l *Lane) Finish(job *carawayspread.Job, served carawayspread.JobResult) {
+func (l *Dispatcher) Finish(job *carawayspread.Job, served carawayspread.JobResult) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.finish(job, served)
 }
 
-func (l *Lane) finish(job *carawayspread.Job, served carawayspread.JobResult) {
+func (l *Dispatcher) finish(job *carawayspread.Job, served carawayspread.JobResult) {
 	if served.Took > 0 {
 		l.window.Served(l.running)
 	}
@@ -207,7 +207,7 @@
 }
 
 // pump lets jobs through while there is capacity. The caller holds mu.
-func (l *Lane) pump() {
+func (l *Dispatcher) pump() {
 	for {
 		job := l.modules.Scheduler.Next()
 		if job == nil {
@@ -220,7 +220,7 @@
 }
 
 // expire answers the jobs that the scheduler has given up. The caller holds mu.
-func (l *Lane) expire() {
+func (l *Dispatcher) expire() {
 	for _, refused := range l.modules.Scheduler.Expired() {
 		if ready, ok := l.tickets[refused.Job]; ok {
 			ready <- refused.Err
@@ -230,7 +230,7 @@
 }
 
 // Queued returns the number of waiting jobs.
-func (l *Lane) Queued() int {
+func (l *Dispatcher) Queued() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.modules.Scheduler.Len()
--- a/internal/process/dispatcher/load.go
+++ b/internal/process/dispatcher/load.go
@@ -4,7 +4,7 @@
 
 // Reported passes a load report to the router. The reports of an endpoint must
 // come in order.
-func (l *Lane) Reported(report carawayspread.EndpointReport) {
+func (l *Dispatcher) Reported(report carawayspread.EndpointReport) {
 	slot, ok := l.fleet.Load().slots[report.Endpoint]
 	if !ok {
 		l.modules.Router.Reported(report)
@@ -22,13 +22,13 @@
 	l.modules.Router.Reported(report)
 }
 
-// Loaded tells the load that came with an answer. It renews the last report,
+// UpdateLoad tells the load that came with an answer. It renews the last report,
 // which says what an answer does not: role, models, rates and drain.
 //
 // A crash is cleared by a report alone, since the answer may have begun before.
 // Without any report nothing is told: a report that names no models would draw
 // the work of every model to the endpoint.
-func (p *Place) Loaded(running, waiting, slots int) {
+func (p *Slot) UpdateLoad(running, waiting, slots int) {
 	p.slot.mu.Lock()
 	defer p.slot.mu.Unlock()
 	now := p.lane.clock.Now()
@@ -42,14 +42,14 @@
 }
 
 // lastReport returns the last report; its time is zero before the first.
-func (s *slot) lastReport() carawayspread.EndpointReport {
+func (s *endpointState) lastReport() carawayspread.EndpointReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.last
 }
 
 // lastSlots returns the slots that the last report tells; unknown before it.
-func (s *slot) lastSlots(unknown int) int {
+func (s *endpointState) lastSlots(unknown int) int {
 	last := s.lastReport()
 	switch {
 	case last.MeasuredAt.IsZero():
--- a/internal/process/dispatcher/load_test.go
+++ b/internal/process/dispatcher/load_test.go
@@ -38,14 +38,14 @@
 	loaded.Running, loaded.Waiting = 9, 2
 	draining, crashed := report, report
 	draining.Draining, crashed.Crashed = true, true
-	type step func(*Lane, *Place, time.Time)
+	type step func(*Dispatcher, *Slot, time.Time)
 	tell := func(r carawayspread.EndpointReport, late time.Duration) step {
-		return func(l *Lane, _ *Place, now time.Time) {
+		return func(l *Dispatcher, _ *Slot, now time.Time) {
 			r.MeasuredAt = now.Add(-late)
 			l.Reported(r)
 		}
 	}
-	answer := func(_ *Lane, p *Place, _ time.Time) { p.Loaded(9, 2, 16) }
+	answer := func(_ *Dispatcher, p *Slot, _ time.Time) { p.UpdateLoad(9, 2, 16) }
 	tests := map[string]struct {
 		steps []step
 		want  carawayspread.EndpointReport
@@ -68,7 +68,7 @@
 				Limiter: func() carawayspread.Limiter { return limiter(env) },
 			}, clock)
 			l.Update([]carawayspread.Endpoint{carawayspread.NewEndpoint("a", "s", "z", "127.0.0.1:1", false)})
-			place := &Place{lane: l, slot: l.fleet.Load().slots["a"]}
+			place := &Slot{lane: l, slot: l.fleet.Load().slots["a"]}
 			for _, s := range test.steps {
 				clock.Advance(time.Second)
 				s(l, place, clock.Now())
--- a/internal/process/dispatcher/slot.go
+++ b/internal/process/dispatcher/slot.go
@@ -19,10 +19,10 @@
 	pickAttempts = 4
 )
 
-// Place is a place at an endpoint; Leave must be called once.
-type Place struct {
-	lane     *Lane
-	slot     *slot
+// Slot is a place at an endpoint; Leave must be called once.
+type Slot struct {
+	lane     *Dispatcher
+	slot     *endpointState
 	job      *carawayspread.Job
 	endpoint carawayspread.Endpoint
 	taken    time.Time
@@ -32,18 +32,18 @@
 }
 
 // Endpoint returns where the place is.
-func (p *Place) Endpoint() carawayspread.Endpoint { return p.endpoint }
+func (p *Slot) Endpoint() carawayspread.Endpoint { return p.endpoint }
 
-// Displaced reports whether none of the job's own endpoints is available.
-func (p *Place) Displaced() bool { return p.displaced }
+// OutsideAffinity reports whether none of the job's own endpoints is available.
+func (p *Slot) OutsideAffinity() bool { return p.displaced }
 
-// Taken returns when the place was taken.
-func (p *Place) Taken() time.Time { return p.taken }
+// AcquiredAt returns when the place was taken.
+func (p *Slot) AcquiredAt() time.Time { return p.taken }
 
-// Leave returns the place with the latency that was measured: the mean gap
+// Release returns the place with the latency that was measured: the mean gap
 // between tokens of an engine's answer, the whole time of a plain service's,
 // zero for none.
-func (p *Place) Leave(latency time.Duration, outcome carawayspread.Outcome) {
+func (p *Slot) Release(latency time.Duration, outcome carawayspread.Outcome) {
 	id := p.endpoint.ID()
 	p.slot.release(latency, outcome)
 	p.lane.modules.Router.Ended(id, p.job, outcome)
@@ -54,22 +54,22 @@
 	p.lane.free()
 }
 
-func (l *Lane) free() {
+func (l *Dispatcher) free() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	close(l.freed)
 	l.freed = make(chan struct{})
 }
 
-func (l *Lane) freedSignal() <-chan struct{} {
+func (l *Dispatcher) freedSignal() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.freed
 }
 
-// Place finds a place at an endpoint that tried does not name, waiting until
+// Acquire finds a place at an endpoint that tried does not name, waiting until
 // latest while its endpoints are only busy. Its error is not run.
-func (l *Lane) Place(ctx context.Context, job *carawayspread.Job, tried map[carawayspread.EndpointID]bool, latest time.Time) (*Place, error) {
+func (l *Dispatcher) Acquire(ctx context.Context, job *carawayspread.Job, tried map[carawayspread.EndpointID]bool, latest time.Time) (*Slot, error) {
 	for {
 		freed := l.freedSignal()
 		place, wait := l.tryPlace(job, tried)
@@ -92,7 +92,7 @@
 
 // tryPlace asks the router for an endpoint and takes a place there. The second
 // result says that a place may come free.
-func (l *Lane) tryPlace(job *carawayspread.Job, tried map[carawayspread.EndpointID]bool) (*Place, bool) {
+func (l *Dispatcher) tryPlace(job *carawayspread.Job, tried map[carawayspread.EndpointID]bool) (*Slot, bool) {
 	known := l.fleet.Load()
 	for range pickAttempts {
 		choice := l.modules.Router.Pick(job, func(id carawayspread.EndpointID) carawayspread.Availability {
@@ -107,7 +107,7 @@
 		}
 		l.modules.Router.Sent(choice.Endpoint, job)
 		l.modules.Ejector.Sent(choice.Endpoint)
-		return &Place{
+		return &Slot{
 			lane: l, slot: slot, job: job, endpoint: known.endpoints[choice.Endpoint],
 			displaced: choice.OutsideAffinity, taken: l.clock.Now(),
 		}, false
@@ -115,7 +115,7 @@
 	return nil, true
 }
 
-func (l *Lane) standing(known *fleet, tried map[carawayspread.EndpointID]bool, id carawayspread.EndpointID) carawayspread.Availability {
+func (l *Dispatcher) standing(known *fleet, tried map[carawayspread.EndpointID]bool, id carawayspread.EndpointID) carawayspread.Availability {
 	slot, ok := known.slots[id]
 	switch {
 	case !ok || tried[id] || !l.modules.Ejector.Allowed(id):
--- a/internal/process/entry/attempt.go
+++ b/internal/process/entry/attempt.go
@@ -15,7 +15,7 @@
 
 // attempt sends the call to one endpoint and follows its answer to the end.
 // final says that no other attempt may follow the failure.
-func (e *Entry) attempt(ctx context.Context, l *dispatcher.Lane, c *call.Call, answer *relay, tried map[carawayspread.EndpointID]bool, n int) (failure *carawayspread.Error, final bool) {
+func (e *Entry) attempt(ctx context.Context, l *dispatcher.Dispatcher, c *call.Call, answer *relay, tried map[carawayspread.EndpointID]bool, n int) (failure *carawayspread.Error, final bool) {
 	place, trial, refusal := e.taken(ctx, l, c, tried, n)
 	if refusal != nil {
 		return refusal, true
@@ -31,9 +31,9 @@
 	answer.closing = closed
 	ended := outcome(ctx, failure)
 	if ended == carawayspread.OutcomeRefused && failure.Code() == carawayspread.CodeOverloaded {
-		l.Full()
+		l.RecordRefusal()
 	}
-	place.Leave(e.latency(c, place, firstByte, answer.events-held), ended)
+	place.Release(e.latency(c, place, firstByte, answer.events-held), ended)
 	e.learn(ctx, c, id, trial, failure, ended)
 	return failure, false
 }
@@ -60,11 +60,11 @@
 // latency returns a measure of the endpoint that is comparable between
 // requests: the mean gap between tokens of an engine, the whole time of a
 // plain service; zero for none.
-func (e *Entry) latency(c *call.Call, place *dispatcher.Place, firstByte time.Time, events int) time.Duration {
+func (e *Entry) latency(c *call.Call, place *dispatcher.Slot, firstByte time.Time, events int) time.Duration {
 	now := e.clock.Now()
 	switch {
 	case c.Service().Kind() == carawayspread.KindPlain:
-		return now.Sub(place.Taken())
+		return now.Sub(place.AcquiredAt())
 	case firstByte.IsZero() || events < fewestEvents:
 		return 0
 	default:
@@ -77,7 +77,7 @@
 
 // follow sends the attempt and passes the answer on. It returns the time of
 // the first byte, zero when none came.
-func (e *Entry) follow(ctx context.Context, c *call.Call, answer *relay, place *dispatcher.Place, n int, trial bool) (*carawayspread.Error, time.Time) {
+func (e *Entry) follow(ctx context.Context, c *call.Call, answer *relay, place *dispatcher.Slot, n int, trial bool) (*carawayspread.Error, time.Time) {
 	header := c.OutgoingHeader()
 	header.Set(sidecarhttp.HeaderFingerprint, sidecarhttp.FormatFingerprint(c.Job().Fingerprint))
 	header.Set(sidecarhttp.HeaderConfig, strconv.FormatUint(uint64(e.config.Current(ctx).Version()), 10))
@@ -94,7 +94,7 @@
 		Header:    header,
 		Body:      c.Body(),
 		Remaining: e.placeUntil(c, n).Sub(e.clock.Now()),
-		Once:      c.Once(),
+		Once:      c.AtMostOnce(),
 	})
 	if err != nil {
 		return typed(err), time.Time{}
@@ -102,7 +102,7 @@
 	defer func() { _ = got.Body.Close() }()
 	firstByte := e.clock.Now()
 	if got.Load != nil {
-		place.Loaded(got.Load.Running, got.Load.Waiting, got.Load.Slots)
+		place.UpdateLoad(got.Load.Running, got.Load.Waiting, got.Load.Slots)
 	}
 	if failure := answerFailure(got, c); failure != nil {
 		return failure, firstByte
@@ -117,7 +117,7 @@
 // endpoint may do better. Work that must not run twice keeps the answer: it is
 // what its endpoint made of the request.
 func answerFailure(got *sidecarhttp.Answer, c *call.Call) *carawayspread.Error {
-	if c.Once() || got.Status < http.StatusInternalServerError && got.Status != http.StatusTooManyRequests {
+	if c.AtMostOnce() || got.Status < http.StatusInternalServerError && got.Status != http.StatusTooManyRequests {
 		return nil
 	}
 	return carawayspread.NewError(carawayspread.CodeEndpointFailed, "the endpoint answers "+strconv.Itoa(got.Status))
--- a/internal/process/entry/entry.go
+++ b/internal/process/entry/entry.go
@@ -56,7 +56,7 @@
 	ledger   Ledger
 	suspects *quarantine.Quarantine
 	trials   Trials
-	lanes    atomic.Pointer[map[string]*dispatcher.Lane] // by service, replaced as a whole
+	lanes    atomic.Pointer[map[string]*dispatcher.Dispatcher] // by service, replaced as a whole
 	leaving  atomic.Bool
 	counters *counters
 }
@@ -100,7 +100,7 @@
 		trials:   noTrials{},
 		counters: newCounters(),
 	}
-	e.lanes.Store(&map[string]*dispatcher.Lane{})
+	e.lanes.Store(&map[string]*dispatcher.Dispatcher{})
 	for _, opt := range opts {
 		opt(e)
 	}
@@ -149,11 +149,11 @@
 		carawayspread.NotRun(), carawayspread.RetryAfter(leavingRetry))
 }
 
-// Leave makes the entry refuse new requests; running ones go on.
-func (e *Entry) Leave() { e.leaving.Store(true) }
+// Drain makes the entry refuse new requests; running ones go on.
+func (e *Entry) Drain() { e.leaving.Store(true) }
 
-// Leaving reports whether the entry refuses new requests.
-func (e *Entry) Leaving() bool { return e.leaving.Load() }
+// Draining reports whether the entry refuses new requests.
+func (e *Entry) Draining() bool { return e.leaving.Load() }
 
 // Close drops idle connections.
 func (e *Entry) Close() { e.client.Close() }
@@ -166,7 +166,7 @@
 			for _, l := range *e.lanes.Load() {
 				l.Tick()
 				if n%relistTicks == 0 {
-					l.Relist()
+					l.RefreshEndpoints()
 				}
 			}
 		case <-ctx.Done():
@@ -183,21 +183,21 @@
 		byService[endpoint.Service()] = append(byService[endpoint.Service()], endpoint)
 	}
 	old := *e.lanes.Load()
-	next := make(map[string]*dispatcher.Lane, len(old))
+	next := make(map[string]*dispatcher.Dispatcher, len(old))
 	for _, service := range cfg.Services() {
 		l, ok := old[service.Name()]
 		if !ok {
 			l = dispatcher.New(e.modules(service), e.clock)
 		}
-		l.Share(entries)
+		l.SetEntryCount(entries)
 		l.Update(byService[service.Name()])
 		next[service.Name()] = l
 	}
 	e.lanes.Store(&next)
 }
 
-// Lane returns the lane of a service; nil where the service is not known.
-func (e *Entry) Lane(service string) *dispatcher.Lane { return (*e.lanes.Load())[service] }
+// Dispatcher returns the lane of a service; nil where the service is not known.
+func (e *Entry) Dispatcher(service string) *dispatcher.Dispatcher { return (*e.lanes.Load())[service] }
 
 // Reported passes a load report to the lane of the service.
 func (e *Entry) Reported(service string, report carawayspread.EndpointReport) {
--- a/internal/process/entry/run.go
+++ b/internal/process/entry/run.go
@@ -33,7 +33,7 @@
 	w.Header().Set("X-Request-Id", c.CallerID())
 	ctx, cancel := e.scope(r.Context(), c)
 	defer cancel()
-	if c.Once() && c.Key() != "" {
+	if c.AtMostOnce() && c.Key() != "" {
 		e.runOnce(ctx, w, r, c)
 		return
 	}
@@ -44,7 +44,7 @@
 // when its caller has gone, so that its end is known to the caller's retry, but not
 // when the process ends.
 func (e *Entry) scope(ctx context.Context, c *call.Call) (context.Context, context.CancelFunc) {
-	if c.Once() {
+	if c.AtMostOnce() {
 		run, end := context.WithCancelCause(context.WithoutCancel(ctx))
 		stop := context.AfterFunc(ctx, func() {
 			if cause := context.Cause(ctx); errors.Is(cause, carawayspread.ErrShutdown) {
@@ -96,7 +96,7 @@
 // attempts runs the call until an attempt ends well or none may follow. After
 // an attempt that may have run, no later refusal may claim that the request
 // has not run.
-func (e *Entry) attempts(ctx context.Context, l *dispatcher.Lane, c *call.Call, answer *relay) *carawayspread.Error {
+func (e *Entry) attempts(ctx context.Context, l *dispatcher.Dispatcher, c *call.Call, answer *relay) *carawayspread.Error {
 	tried := map[carawayspread.EndpointID]bool{}
 	mayHaveRun := false
 	for n := 1; ; n++ {
@@ -112,7 +112,7 @@
 		case final || !answer.resumable():
 			return honest(failure, mayHaveRun)
 		}
-		switch retry.Decide(failure, c.Once(), n, l.Budget()) {
+		switch retry.Decide(failure, c.AtMostOnce(), n, l.Budget()) {
 		case retry.Unknown:
 			return unknown(failure)
 		case retry.GiveUp:
--- a/internal/process/entry/suspects.go
+++ b/internal/process/entry/suspects.go
@@ -38,9 +38,9 @@
 
 // clear decides whether the call may run at the place, or returns the final
 // refusal. The endpoints that the call has crashed count as tried.
-func (e *Entry) clear(ctx context.Context, c *call.Call, place *dispatcher.Place, tried map[carawayspread.EndpointID]bool) (clearance, *carawayspread.Error) {
+func (e *Entry) clear(ctx context.Context, c *call.Call, place *dispatcher.Slot, tried map[carawayspread.EndpointID]bool) (clearance, *carawayspread.Error) {
 	fingerprint := c.Job().Fingerprint
-	verdict, refusal := e.suspects.Decide(quarantine.Attempt{Fingerprint: fingerprint, Displaced: place.Displaced()})
+	verdict, refusal := e.suspects.Decide(quarantine.Attempt{Fingerprint: fingerprint, Displaced: place.OutsideAffinity()})
 	switch verdict {
 	case quarantine.VerdictRun:
 		return clearance{}, nil
@@ -67,26 +67,26 @@
 // one crash is known yet. Symptom: a trial that goes on to a third endpoint
 // crashes that one too. A trial never goes to an endpoint that the request has
 // crashed, and one with a victim goes to no endpoint but the request's own two.
-func (e *Entry) taken(ctx context.Context, l *dispatcher.Lane, c *call.Call, tried map[carawayspread.EndpointID]bool, n int) (*dispatcher.Place, bool, *carawayspread.Error) {
-	place, err := l.Place(ctx, c.Job(), tried, e.placeUntil(c, n))
+func (e *Entry) taken(ctx context.Context, l *dispatcher.Dispatcher, c *call.Call, tried map[carawayspread.EndpointID]bool, n int) (*dispatcher.Slot, bool, *carawayspread.Error) {
+	place, err := l.Acquire(ctx, c.Job(), tried, e.placeUntil(c, n))
 	if err != nil {
 		return nil, false, typed(err)
 	}
 	cleared, refusal := e.clear(ctx, c, place, tried)
 	if refusal == nil && cleared.trial && tried[place.Endpoint().ID()] {
-		place.Leave(0, carawayspread.OutcomeRefused)
-		if place, err = l.Place(ctx, c.Job(), tried, e.placeUntil(c, n)); err != nil {
+		place.Release(0, carawayspread.OutcomeRefused)
+		if place, err = l.Acquire(ctx, c.Job(), tried, e.placeUntil(c, n)); err != nil {
 			e.endTrial(ctx, c, carawayspread.OutcomeRefused)
 			return nil, false, typed(err)
 		}
 	}
-	if refusal == nil && cleared.victims && place.Displaced() {
+	if refusal == nil && cleared.victims && place.OutsideAffinity() {
 		e.endTrial(ctx, c, carawayspread.OutcomeRefused)
 		refusal = carawayspread.NewError(carawayspread.CodeSuspect, "the request may have crashed the endpoints that it belongs to",
 			carawayspread.NotRun(), carawayspread.RetryAfter(suspectRetry))
 	}
 	if refusal != nil {
-		place.Leave(0, carawayspread.OutcomeRefused)
+		place.Release(0, carawayspread.OutcomeRefused)
 		return nil, false, refusal
 	}
 	return place, cleared.trial, nil
--- a/internal/process/loads/loads.go
+++ b/internal/process/loads/loads.go
@@ -7,13 +7,13 @@
 // knownInstances bounds the full reports that are kept.
 const knownInstances = 10_000
 
-// Loads holds the last full report of each sidecar. It is used by one goroutine.
-type Loads struct {
+// Completer holds the last full report of each sidecar. It is used by one goroutine.
+type Completer struct {
 	full map[string]*control.LoadReport // by instance; well formed
 }
 
 // New returns Loads that hold no report.
-func New() *Loads { return &Loads{full: map[string]*control.LoadReport{}} }
+func New() *Completer { return &Completer{full: map[string]*control.LoadReport{}} }
 
 // Complete adds the endpoints to a report, which must arrive in order; false
 // when it cannot be used.
@@ -22,7 +22,7 @@
 // Symptom: the loads that follow are taken for those of other endpoints. They
 // name the full report that they follow, and are dropped until the next full
 // one, a few reports later.
-func (l *Loads) Complete(r *control.LoadReport) bool {
+func (l *Completer) Complete(r *control.LoadReport) bool {
 	if r.GetSinceFull() == 0 {
 		return l.keep(r)
 	}
@@ -34,7 +34,7 @@
 	return wellFormed(r)
 }
 
-func (l *Loads) keep(r *control.LoadReport) bool {
+func (l *Completer) keep(r *control.LoadReport) bool {
 	if !wellFormed(r) {
 		return false
 	}
--- a/internal/process/sidecar/duplicate_test.go
+++ b/internal/process/sidecar/duplicate_test.go
@@ -21,7 +21,7 @@
 	endpoint := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { hits++ }))
 	t.Cleanup(endpoint.Close)
 	worker := Worker{ID: "records-1", Kind: carawayspread.KindPlain, Address: strings.TrimPrefix(endpoint.URL, "http://")}
-	s := New([]Worker{worker}, WithAttempts(attempts.New(carawayspread.SystemClock())))
+	s := New([]Worker{worker}, WithDeduplicator(attempts.New(carawayspread.SystemClock())))
 	const fingerprint = 7
 	s.suspects.Suspected(fingerprint, "")
 	deliver := func() http.Header {
--- a/internal/process/sidecar/sidecar.go
+++ b/internal/process/sidecar/sidecar.go
@@ -37,14 +37,14 @@
 	Slots   int    // requests that the endpoint runs at once; zero for the default
 }
 
-// Victims tells the whole fleet which requests were running when an endpoint
+// CrashRecorder tells the whole fleet which requests were running when an endpoint
 // crashed.
-type Victims interface {
+type CrashRecorder interface {
 	Crashed(ctx context.Context, endpoint carawayspread.EndpointID, running ...uint64) error
 }
 
-// Attempts remembers which attempts were accepted.
-type Attempts interface {
+// Deduplicator remembers which attempts were accepted.
+type Deduplicator interface {
 	// Accept records the attempt; false when it was accepted before.
 	Accept(id string) bool
 }
@@ -58,8 +58,8 @@
 	clock    carawayspread.Clock
 	log      log.Interface
 	suspects *quarantine.Quarantine
-	victims  Victims
-	attempts Attempts
+	victims  CrashRecorder
+	attempts Deduplicator
 	heard    func(carawayspread.Version) // takes versions named by requests
 	draining atomic.Bool
 }
@@ -73,14 +73,14 @@
 // WithLog sets where events are logged.
 func WithLog(l log.Interface) Option { return func(s *Sidecar) { s.log = l } }
 
-// WithVictims sets what tells the fleet of crashes.
-func WithVictims(v Victims) Option { return func(s *Sidecar) { s.victims = v } }
+// WithCrashRecorder sets what tells the fleet of crashes.
+func WithCrashRecorder(v CrashRecorder) Option { return func(s *Sidecar) { s.victims = v } }
 
-// WithAttempts sets what remembers accepted attempts.
-func WithAttempts(a Attempts) Option { return func(s *Sidecar) { s.attempts = a } }
+// WithDeduplicator sets what remembers accepted attempts.
+func WithDeduplicator(a Deduplicator) Option { return func(s *Sidecar) { s.attempts = a } }
 
-// WithHeard sets what takes the configuration versions that requests name.
-func WithHeard(heard func(carawayspread.Version)) Option {
+// WithVersionObserver sets what takes the configuration versions that requests name.
+func WithVersionObserver(heard func(carawayspread.Version)) Option {
 	return func(s *Sidecar) { s.heard = heard }
 }
 
@@ -131,9 +131,9 @@
 	return running
 }
 
-// Quiet stops new work at an endpoint and returns when none runs there. Work
+// Quiesce stops new work at an endpoint and returns when none runs there. Work
 // is admitted again by resume.
-func (s *Sidecar) Quiet(ctx context.Context, id carawayspread.EndpointID) (resume func(), err error) {
+func (s *Sidecar) Quiesce(ctx context.Context, id carawayspread.EndpointID) (resume func(), err error) {
 	w, ok := s.workers[id]
 	if !ok {
 		return nil, trace.NotFound("there is no endpoint %v", id)
--- a/internal/request/call/call.go
+++ b/internal/request/call/call.go
@@ -236,8 +236,8 @@
 // Stream reports whether the answer is a stream of events.
 func (c *Call) Stream() bool { return c.stream }
 
-// Once reports whether the request must not run twice.
-func (c *Call) Once() bool { return c.once }
+// AtMostOnce reports whether the request must not run twice.
+func (c *Call) AtMostOnce() bool { return c.once }
 
 // Job returns what the decision modules know of the request.
 func (c *Call) Job() *carawayspread.Job { return c.job }
