--- a/internal/process/entry/attempt.go
+++ b/internal/process/entry/attempt.go
@@ -13,109 +13,110 @@
 	"carawayspread/internal/request/call"
 )
 
-// attempt sends the call to one endpoint and follows its answer to the end.
-// final says that no other attempt may follow the failure.
-func (e *Entry) attempt(ctx context.Context, l *dispatcher.Dispatcher, c *call.Call, answer *relay, tried map[carawayspread.EndpointID]bool, n int) (failure *carawayspread.Error, final bool) {
-	place, trial, refusal := e.taken(ctx, l, c, tried, n)
+// attempt sends the call to one endpoint and forwards its answer to the end.
+// If final is set, no other attempt may follow the failure.
+func (e *Entry) attempt(ctx context.Context, d *dispatcher.Dispatcher, c *call.Call, answer *relay, tried map[carawayspread.EndpointID]bool, n int) (failure *carawayspread.Error, final bool) {
+	slot, trial, refusal := e.acquireSlot(ctx, d, c, tried, n)
 	if refusal != nil {
 		return refusal, true
 	}
-	id := place.Endpoint().ID()
+	id := slot.Endpoint().ID()
 	tried[id] = true
-	held := answer.events
-	closed := answer.closing
+	eventsBefore := answer.events
+	previous := answer.beforeEnd
 	if trial {
-		answer.closing = func() error { return e.closeTrial(ctx, c, closed) }
+		answer.beforeEnd = func() error { return e.completeTrial(ctx, c, previous) }
 	}
-	failure, firstByte := e.follow(ctx, c, answer, place, n, trial)
-	answer.closing = closed
+	failure, firstByte := e.sendAttempt(ctx, c, answer, slot, n, trial)
+	answer.beforeEnd = previous
 	ended := outcome(ctx, failure)
 	if ended == carawayspread.OutcomeRefused && failure.Code() == carawayspread.CodeOverloaded {
-		l.RecordRefusal()
+		d.RecordRefusal()
 	}
-	place.Release(e.latency(c, place, firstByte, answer.events-held), ended)
-	e.learn(ctx, c, id, trial, failure, ended)
+	slot.Release(e.latency(c, slot, firstByte, answer.events-eventsBefore), ended)
+	e.recordOutcome(ctx, c, id, trial, failure, ended)
 	return failure, false
 }
 
-// placeUntil gives a retry, whose target may be missed already, a moment to
-// find a place.
-func (e *Entry) placeUntil(c *call.Call, n int) time.Time {
-	until := latest(c)
+// slotDeadline returns until when attempt n may wait for a slot. A retry gets at
+// least minRetrySlotWait, as its latency target may have been missed already.
+func (e *Entry) slotDeadline(c *call.Call, n int) time.Time {
+	deadline := firstByteDeadline(c)
 	if n == 1 {
-		return until
+		return deadline
 	}
-	if soonest := e.clock.Now().Add(retryPlace); until.Before(soonest) {
-		return soonest
+	if earliest := e.clock.Now().Add(minRetrySlotWait); deadline.Before(earliest) {
+		return earliest
 	}
-	return until
+	return deadline
 }
 
 const (
-	retryPlace = time.Second
-	// recordTimeout bounds a write to the table at the end of an attempt.
+	minRetrySlotWait = time.Second
+	// recordTimeout limits a write to the table at the end of an attempt.
 	recordTimeout = 2 * time.Second
 )
 
-// latency returns a measure of the endpoint that is comparable between
-// requests: the mean gap between tokens of an engine, the whole time of a
-// plain service; zero for none.
-func (e *Entry) latency(c *call.Call, place *dispatcher.Slot, firstByte time.Time, events int) time.Duration {
+// latency returns a latency of the endpoint that is comparable between requests:
+// the mean inter-token latency of an engine, or the total time at a plain
+// service. It is zero if the attempt yielded no measurement.
+func (e *Entry) latency(c *call.Call, slot *dispatcher.Slot, firstByte time.Time, events int) time.Duration {
 	now := e.clock.Now()
 	switch {
 	case c.Service().Kind() == carawayspread.KindPlain:
-		return now.Sub(place.AcquiredAt())
-	case firstByte.IsZero() || events < fewestEvents:
+		return now.Sub(slot.AcquiredAt())
+	case firstByte.IsZero() || events < minGapEvents:
 		return 0
 	default:
 		return now.Sub(firstByte) / time.Duration(events)
 	}
 }
 
-// fewestEvents is how many tokens an answer needs to measure their gap.
-const fewestEvents = 4
+// minGapEvents is the number of events that an answer needs for a measurement of
+// the inter-token latency.
+const minGapEvents = 4
 
-// follow sends the attempt and passes the answer on. It returns the time of
-// the first byte, zero when none came.
-func (e *Entry) follow(ctx context.Context, c *call.Call, answer *relay, place *dispatcher.Slot, n int, trial bool) (*carawayspread.Error, time.Time) {
+// sendAttempt sends the attempt and forwards the answer. It returns the time of
+// the first byte, which is zero if none arrived.
+func (e *Entry) sendAttempt(ctx context.Context, c *call.Call, answer *relay, slot *dispatcher.Slot, n int, trial bool) (*carawayspread.Error, time.Time) {
 	header := c.OutgoingHeader()
 	header.Set(sidecarhttp.HeaderFingerprint, sidecarhttp.FormatFingerprint(c.Job().Fingerprint))
 	header.Set(sidecarhttp.HeaderConfig, strconv.FormatUint(uint64(e.config.Current(ctx).Version()), 10))
 	if trial {
 		header.Set(sidecarhttp.HeaderTrial, "true")
 	}
-	answer.askResume(header)
+	answer.setResumeHeaders(header)
 	got, err := e.client.Do(ctx, sidecarhttp.Attempt{
 		ID:        c.ID() + "-" + strconv.Itoa(n),
-		Endpoint:  place.Endpoint().ID(),
-		Address:   place.Endpoint().Address(),
+		Endpoint:  slot.Endpoint().ID(),
+		Address:   slot.Endpoint().Address(),
 		Method:    c.Method(),
 		Path:      c.Path(),
 		Header:    header,
 		Body:      c.Body(),
-		Remaining: e.placeUntil(c, n).Sub(e.clock.Now()),
+		Remaining: e.slotDeadline(c, n).Sub(e.clock.Now()),
 		Once:      c.AtMostOnce(),
 	})
 	if err != nil {
-		return typed(err), time.Time{}
+		return toError(err), time.Time{}
 	}
 	defer func() { _ = got.Body.Close() }()
 	firstByte := e.clock.Now()
 	if got.Load != nil {
-		place.UpdateLoad(got.Load.Running, got.Load.Waiting, got.Load.Slots)
+		slot.UpdateLoad(got.Load.Running, got.Load.Waiting, got.Load.Slots)
 	}
 	if failure := answerFailure(got, c); failure != nil {
 		return failure, firstByte
 	}
-	if err := answer.pass(got); err != nil {
-		return typed(err), firstByte
+	if err := answer.forward(got); err != nil {
+		return toError(err), firstByte
 	}
 	return nil, firstByte
 }
 
-// answerFailure turns an endpoint's own refusal into a failure where another
-// endpoint may do better. Work that must not run twice keeps the answer: it is
-// what its endpoint made of the request.
+// answerFailure turns an endpoint's own error response (5xx or 429) into a
+// failure, as another endpoint may succeed. At-most-once requests keep the
+// response, since it is the result of their only run.
 func answerFailure(got *sidecarhttp.Answer, c *call.Call) *carawayspread.Error {
 	if c.AtMostOnce() || got.Status < http.StatusInternalServerError && got.Status != http.StatusTooManyRequests {
 		return nil
--- a/internal/process/entry/entry.go
+++ b/internal/process/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry is the process that takes callers' requests: it reads them,
-// waits for their turn, sends them to an endpoint's sidecar, follows the
-// answer, and resumes or retries what failed.
+// Package entry implements the process that accepts callers' requests. It parses
+// and queues them, sends attempts to the sidecar of an endpoint, forwards the
+// answer, and resumes or retries failed attempts.
 package entry
 
 import (
@@ -23,42 +23,43 @@
 const (
 	defaultBodyLimit = 8 << 20
 	defaultStall     = 10 * time.Second
-	tick             = 20 * time.Millisecond
-	relistTicks      = 100 // about the interval of the instance list
-	// leavingRetry is when a caller may come back who met a leaving entry; the
-	// balancer sends it elsewhere.
-	leavingRetry = time.Second
-	// longestOnce bounds the run of a request that must not run twice, which
-	// goes on when its caller has gone.
-	longestOnce = 15 * time.Minute
+	tickInterval     = 20 * time.Millisecond
+	refreshTicks     = 100 // ticks between refreshes, about the interval of the instance list
+	// retryDelay is the Retry-After for callers that this entry cannot serve now, for
+	// example while it drains; the platform's load balancer sends their retry to
+	// another entry.
+	retryDelay = time.Second
+	// maxAtMostOnceTime limits an at-most-once request, which continues after its
+	// caller has disconnected.
+	maxAtMostOnceTime = 15 * time.Minute
 )
 
-// ConfigSource gives the configuration under which a request is served.
+// ConfigSource provides the configuration under which a request is served.
 type ConfigSource interface {
-	// Current returns the configuration, refreshed first when this process
-	// cannot show that the one it holds is recent.
+	// Current returns the configuration. It refreshes it first if this process
+	// cannot prove that the one it holds is recent.
 	Current(ctx context.Context) *carawayspread.Config
-	// Heard takes a version that another process names.
+	// Heard records a version that another process has reported.
 	Heard(version carawayspread.Version)
 }
 
-// Entry serves callers. It is an http.Handler and safe for concurrent use.
+// Entry serves callers' requests. It is an http.Handler and safe for concurrent use.
 type Entry struct {
-	mux      *http.ServeMux
-	config   ConfigSource
-	client   *sidecarhttp.Client
-	clock    carawayspread.Clock
-	log      log.Interface
-	newID    func() string
-	modules  func(service carawayspread.Service) dispatcher.Modules
-	limits   call.Limits
-	stall    time.Duration
-	ledger   Ledger
-	suspects *quarantine.Quarantine
-	trials   Trials
-	lanes    atomic.Pointer[map[string]*dispatcher.Dispatcher] // by service, replaced as a whole
-	leaving  atomic.Bool
-	counters *counters
+	mux         *http.ServeMux
+	config      ConfigSource
+	client      *sidecarhttp.Client
+	clock       carawayspread.Clock
+	log         log.Interface
+	newID       func() string
+	modules     func(service carawayspread.Service) dispatcher.Modules
+	limits      call.Limits
+	stall       time.Duration
+	ledger      Ledger
+	suspects    *quarantine.Quarantine
+	trials      Trials
+	dispatchers atomic.Pointer[map[string]*dispatcher.Dispatcher] // by service; copy on write
+	draining    atomic.Bool
+	counters    *counters
 }
 
 // Option sets a part of an Entry.
@@ -67,25 +68,25 @@
 // WithClock sets the clock.
 func WithClock(clock carawayspread.Clock) Option { return func(e *Entry) { e.clock = clock } }
 
-// WithLog sets where events are logged.
+// WithLog sets the logger.
 func WithLog(l log.Interface) Option { return func(e *Entry) { e.log = l } }
 
-// WithIDs sets what names requests; the names must be unique.
+// WithIDs sets the generator of request IDs, which must be unique.
 func WithIDs(newID func() string) Option { return func(e *Entry) { e.newID = newID } }
 
-// WithBodyLimit sets the most bytes that are read of a request's body.
+// WithBodyLimit sets the maximum size of a request body in bytes.
 func WithBodyLimit(n int64) Option { return func(e *Entry) { e.limits.Body = n } }
 
-// WithStall sets how long an attempt may be silent.
+// WithStall sets the longest time that an attempt may receive nothing.
 func WithStall(d time.Duration) Option { return func(e *Entry) { e.stall = d } }
 
-// WithLedger sets what agrees on work that runs at most once.
+// WithLedger sets the ledger of at-most-once requests.
 func WithLedger(l Ledger) Option { return func(e *Entry) { e.ledger = l } }
 
-// WithTrials sets what agrees on requests that may crash their endpoint.
+// WithTrials sets the coordinator of trials of requests that may crash their endpoint.
 func WithTrials(t Trials) Option { return func(e *Entry) { e.trials = t } }
 
-// New returns an entry. modules gives the decision modules of a service.
+// New returns an entry. modules creates the decision modules of a service.
 func New(config ConfigSource, modules func(carawayspread.Service) dispatcher.Modules, opts ...Option) *Entry {
 	e := &Entry{
 		mux:      http.NewServeMux(),
@@ -100,15 +101,15 @@
 		trials:   noTrials{},
 		counters: newCounters(),
 	}
-	e.lanes.Store(&map[string]*dispatcher.Dispatcher{})
+	e.dispatchers.Store(&map[string]*dispatcher.Dispatcher{})
 	for _, opt := range opts {
 		opt(e)
 	}
 	e.suspects = quarantine.New(e.clock)
 	e.client = sidecarhttp.NewClient(e.stall)
-	e.mux.HandleFunc("/v1/models", only(http.MethodGet, e.listModels))
-	e.mux.HandleFunc("/v1/chat/completions", only(http.MethodPost, e.run))
-	e.mux.HandleFunc("/v1/completions", only(http.MethodPost, e.run))
+	e.mux.HandleFunc("/v1/models", allowMethod(http.MethodGet, e.listModels))
+	e.mux.HandleFunc("/v1/chat/completions", allowMethod(http.MethodPost, e.run))
+	e.mux.HandleFunc("/v1/completions", allowMethod(http.MethodPost, e.run))
 	e.mux.HandleFunc("/services/{name}/", e.run)
 	e.mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) {
 		openai.WriteError(w, carawayspread.NewError(carawayspread.CodeNotFound, "there is no such path", carawayspread.NotRun()))
@@ -119,7 +120,7 @@
 // ServeHTTP serves one caller's request.
 func (e *Entry) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.mux.ServeHTTP(w, r) }
 
-func only(method string, next http.HandlerFunc) http.HandlerFunc {
+func allowMethod(method string, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != method {
 			w.Header().Set("Allow", method)
@@ -139,34 +140,32 @@
 	openai.WriteModels(w, cfg.Models())
 }
 
-// noConfiguration refuses callers of an entry that holds none yet.
-//
-// Failure: an entry takes callers before it has read the first configuration.
-// Symptom: it says that there are no models or no such class, which callers
-// take for final. It does not know, and says when to come back.
+// noConfiguration is the retryable refusal of an entry that has not read its first
+// configuration yet. An answer such as "no models" or "unknown class" would be
+// taken as final by callers.
 func noConfiguration() *carawayspread.Error {
 	return carawayspread.NewError(carawayspread.CodeNoEndpoint, "no configuration is known yet",
-		carawayspread.NotRun(), carawayspread.RetryAfter(leavingRetry))
+		carawayspread.NotRun(), carawayspread.RetryAfter(retryDelay))
 }
 
-// Drain makes the entry refuse new requests; running ones go on.
-func (e *Entry) Drain() { e.leaving.Store(true) }
+// Drain makes the entry refuse new requests; running ones continue.
+func (e *Entry) Drain() { e.draining.Store(true) }
 
 // Draining reports whether the entry refuses new requests.
-func (e *Entry) Draining() bool { return e.leaving.Load() }
+func (e *Entry) Draining() bool { return e.draining.Load() }
 
-// Close drops idle connections.
+// Close closes idle connections to sidecars.
 func (e *Entry) Close() { e.client.Close() }
 
-// Run keeps the lanes going until ctx ends.
+// Run ticks the dispatchers and refreshes their endpoints until ctx ends.
 func (e *Entry) Run(ctx context.Context) error {
 	for n := 1; ; n++ {
 		select {
-		case <-e.clock.After(tick):
-			for _, l := range *e.lanes.Load() {
-				l.Tick()
-				if n%relistTicks == 0 {
-					l.RefreshEndpoints()
+		case <-e.clock.After(tickInterval):
+			for _, d := range *e.dispatchers.Load() {
+				d.Tick()
+				if n%refreshTicks == 0 {
+					d.RefreshEndpoints()
 				}
 			}
 		case <-ctx.Done():
@@ -175,33 +174,35 @@
 	}
 }
 
-// Update replaces what is known of the endpoints and of the number of entries
-// before them. Its calls must not overlap.
+// Update replaces the endpoints and the number of entries that share them. Calls
+// must not be concurrent.
 func (e *Entry) Update(cfg *carawayspread.Config, endpoints []carawayspread.Endpoint, entries int) {
 	byService := map[string][]carawayspread.Endpoint{}
 	for _, endpoint := range endpoints {
 		byService[endpoint.Service()] = append(byService[endpoint.Service()], endpoint)
 	}
-	old := *e.lanes.Load()
+	old := *e.dispatchers.Load()
 	next := make(map[string]*dispatcher.Dispatcher, len(old))
 	for _, service := range cfg.Services() {
-		l, ok := old[service.Name()]
+		d, ok := old[service.Name()]
 		if !ok {
-			l = dispatcher.New(e.modules(service), e.clock)
+			d = dispatcher.New(e.modules(service), e.clock)
 		}
-		l.SetEntryCount(entries)
-		l.Update(byService[service.Name()])
-		next[service.Name()] = l
+		d.SetEntryCount(entries)
+		d.Update(byService[service.Name()])
+		next[service.Name()] = d
 	}
-	e.lanes.Store(&next)
+	e.dispatchers.Store(&next)
 }
 
-// Dispatcher returns the lane of a service; nil where the service is not known.
-func (e *Entry) Dispatcher(service string) *dispatcher.Dispatcher { return (*e.lanes.Load())[service] }
+// Dispatcher returns the dispatcher of a service, or nil if the service is not known.
+func (e *Entry) Dispatcher(service string) *dispatcher.Dispatcher {
+	return (*e.dispatchers.Load())[service]
+}
 
-// Reported passes a load report to the lane of the service.
+// Reported passes a load report to the dispatcher of the service.
 func (e *Entry) Reported(service string, report carawayspread.EndpointReport) {
-	if l, ok := (*e.lanes.Load())[service]; ok {
-		l.Reported(report)
+	if d, ok := (*e.dispatchers.Load())[service]; ok {
+		d.Reported(report)
 	}
 }
--- a/internal/process/entry/observe.go
+++ b/internal/process/entry/observe.go
@@ -11,7 +11,7 @@
 	"carawayspread/internal/request/call"
 )
 
-// counters are the metrics of one entry.
+// counters holds the metrics of one entry.
 type counters struct {
 	set *metrics.Set
 }
@@ -64,7 +64,7 @@
 
 func (e *Entry) logRefusal(r *http.Request, c *call.Call, failure *carawayspread.Error) {
 	if c != nil {
-		return // logged as finished
+		return // logged by finished
 	}
 	e.log.WithFields(log.Fields{
 		"path":   r.URL.Path,
--- a/internal/process/entry/once.go
+++ b/internal/process/entry/once.go
@@ -9,31 +9,31 @@
 	"carawayspread/internal/request/call"
 )
 
-// Stored is the answer of a finished request as the ledger keeps it.
+// Stored is the answer of a finished request as stored in the ledger.
 type Stored struct {
 	Status int
 	Header map[string]string
 	Body   []byte
 }
 
-// Claim is the right to run one request, held by one entry. Its methods return
-// nil where the caller may be told what was recorded, and else the error that
-// the caller is told: what the record shows.
+// Claim is the exclusive right of one entry to run one request. Its methods return
+// nil if the result was recorded and may be sent to the caller. Otherwise they
+// return the error to send instead, which is what the record states.
 type Claim interface {
-	// Done records the whole answer. After an error Unknown is called, and its
-	// verdict holds.
+	// Done records the complete answer. After an error the caller of Done calls
+	// Unknown, whose result applies.
 	Done(ctx context.Context, answer Stored) error
-	// Failed records that the request has not run, so that it may be sent again.
+	// Failed records that the request has not run, so that it may be retried.
 	Failed(ctx context.Context) error
 	// Unknown records that the outcome cannot be known.
 	Unknown(ctx context.Context) error
 }
 
-// Ledger agrees, for the whole fleet, on who runs a request that must run at
-// most once, and remembers how it ended.
+// Ledger decides, for the whole fleet, which entry runs an at-most-once request,
+// and stores its result.
 type Ledger interface {
-	// Begin claims the request, or returns the stored answer of an earlier run,
-	// or the error that is the answer for now or for good.
+	// Begin claims the request. Otherwise it returns the stored answer of an earlier
+	// run, or a temporary or final error.
 	Begin(ctx context.Context, c *call.Call) (Claim, *Stored, error)
 }
 
@@ -44,11 +44,11 @@
 		"this entry has no ledger for idempotency keys", carawayspread.NotRun())
 }
 
-// runOnce runs a request that must run at most once under its idempotency key.
-func (e *Entry) runOnce(ctx context.Context, w http.ResponseWriter, r *http.Request, c *call.Call) {
+// runAtMostOnce runs an at-most-once request under its idempotency key.
+func (e *Entry) runAtMostOnce(ctx context.Context, w http.ResponseWriter, r *http.Request, c *call.Call) {
 	claim, stored, err := e.ledger.Begin(ctx, c)
 	if err != nil {
-		e.refuse(w, r, nil, typed(err))
+		e.refuse(w, r, nil, toError(err))
 		return
 	}
 	if stored != nil {
@@ -57,7 +57,7 @@
 	}
 	answer := newRelay(w, c, e.clock)
 	answer.record = &recorder{}
-	answer.closing = func() error { return answer.record.keep(ctx, claim) }
+	answer.beforeEnd = func() error { return answer.record.store(ctx, claim) }
 	failure := e.serve(ctx, c, answer)
 	if failure == nil {
 		e.finished(c, answer, "served")
@@ -66,23 +66,23 @@
 	e.fail(w, r, c, answer, e.settle(ctx, claim, failure))
 }
 
-// settle records how a claimed request failed and returns what its caller is
-// told, which must not contradict what a retry will read from the record.
+// settle records how a claimed request failed and returns the error for its caller,
+// which must not contradict what a retry will read from the record.
 func (e *Entry) settle(ctx context.Context, claim Claim, failure *carawayspread.Error) *carawayspread.Error {
 	final, record := failure, claim.Failed
 	if !failure.NotRun() {
-		final, record = unknown(failure), claim.Unknown
+		final, record = unknownOutcome(failure), claim.Unknown
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout) // the run's may be over
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout) // ctx of the run may have ended
 	defer cancel()
 	err := record(ctx)
 	if err == nil {
 		return final
 	}
-	if shown, ok := carawayspread.AsError(err); ok {
-		return shown
+	if recorded, ok := carawayspread.AsError(err); ok {
+		return recorded
 	}
-	return unknown(failure)
+	return unknownOutcome(failure)
 }
 
 func replay(w http.ResponseWriter, stored *Stored) {
@@ -94,30 +94,30 @@
 	_, _ = w.Write(stored.Body)
 }
 
-// storedLimit bounds the answer that is kept for replay. A longer answer is
-// delivered but not kept: its record ends as unknown for a later retry.
+// storedLimit is the maximum size in bytes of an answer that is stored for replay.
+// A longer answer is delivered but not stored; a retry gets an unknown outcome.
 const storedLimit = 4 << 20
 
-// recorder keeps a copy of the answer for the ledger.
+// recorder copies the answer for the ledger.
 type recorder struct {
-	stored Stored
-	over   bool // the answer is longer than the limit
+	stored  Stored
+	tooLong bool // the answer exceeds storedLimit
 }
 
-// keep records how the request ended before its caller is told.
-func (r *recorder) keep(ctx context.Context, claim Claim) error {
-	if r.over {
+// store records the result before the caller receives the end of the answer.
+func (r *recorder) store(ctx context.Context, claim Claim) error {
+	if r.tooLong {
 		return claim.Unknown(ctx)
 	}
 	return claim.Done(ctx, r.stored)
 }
 
 func (a *relay) recordBytes(p []byte) {
-	if a.record == nil || a.record.over {
+	if a.record == nil || a.record.tooLong {
 		return
 	}
 	if len(a.record.stored.Body)+len(p) > storedLimit {
-		a.record.over = true
+		a.record.tooLong = true
 		a.record.stored.Body = nil
 		return
 	}
--- a/internal/process/entry/relay.go
+++ b/internal/process/entry/relay.go
@@ -17,35 +17,36 @@
 	"carawayspread/internal/request/call"
 )
 
-// heldBack is how much of an unstreamed answer is held until it is known to be
-// whole, so that a cut answer of that size can be asked for again unseen.
-const heldBack = 64 << 10
+// maxHeldBack is how many bytes of an unstreamed answer are buffered until the
+// answer is complete. An answer of up to that size that breaks off can be retried
+// without the caller noticing.
+const maxHeldBack = 64 << 10
 
-// relay passes the answer of a call to its caller over all attempts. What the
-// caller has been given is never given again.
+// relay forwards the answer of a call to its caller across all attempts. It never
+// sends the same part twice.
 type relay struct {
-	w       http.ResponseWriter
-	call    *call.Call
-	sent    bool           // the status is out
-	events  int            // whole events that the caller has
-	digest  *xxhash.Digest // of their data
-	clock   carawayspread.Clock
-	first   time.Time    // of the answer's first byte; zero before it
-	record  *recorder    // nil unless the answer is to be stored
-	closing func() error // called before the caller is told that the answer is whole
+	w           http.ResponseWriter
+	call        *call.Call
+	sent        bool           // the status and header are sent
+	events      int            // complete events sent to the caller
+	digest      *xxhash.Digest // of the data of these events
+	clock       carawayspread.Clock
+	firstByteAt time.Time    // zero before the first byte of the answer
+	record      *recorder    // nil unless the answer is to be stored
+	beforeEnd   func() error // called before the end of a complete answer is sent
 }
 
 func newRelay(w http.ResponseWriter, c *call.Call, clock carawayspread.Clock) *relay {
-	return &relay{w: w, call: c, clock: clock, digest: xxhash.New(), closing: func() error { return nil }}
+	return &relay{w: w, call: c, clock: clock, digest: xxhash.New(), beforeEnd: func() error { return nil }}
 }
 
 func (a *relay) started() bool { return a.sent }
 
-// resumable reports whether another attempt can continue what the caller has.
+// resumable reports whether another attempt can continue the answer from what was sent.
 func (a *relay) resumable() bool { return !a.sent || a.call.Stream() }
 
-// askResume states to the next endpoint what the caller has already.
-func (a *relay) askResume(header http.Header) {
+// setResumeHeaders sets the headers that state which events the caller has received.
+func (a *relay) setResumeHeaders(header http.Header) {
 	if a.events == 0 {
 		return
 	}
@@ -53,33 +54,33 @@
 	header.Set(sidecarhttp.HeaderResumeDigest, strconv.FormatUint(a.digest.Sum64(), 16))
 }
 
-// served returns what the answer took, as far as it was seen.
-func (a *relay) served(whole bool, began, ended time.Time) carawayspread.JobResult {
+// result returns the cost and timing of the answer, as far as it was received.
+func (a *relay) result(whole bool, began, ended time.Time) carawayspread.JobResult {
 	cost := a.call.Job().Cost
 	if a.call.Stream() || !whole {
 		cost.Decode = a.events
 	}
 	served := carawayspread.JobResult{Cost: cost, Took: ended.Sub(began)}
-	if !a.first.IsZero() {
-		served.FirstToken = a.first.Sub(began)
+	if !a.firstByteAt.IsZero() {
+		served.FirstToken = a.firstByteAt.Sub(began)
 	}
 	return served
 }
 
-// pass hands an endpoint's answer to the caller. It returns nil when the
-// caller has the whole of it.
-func (a *relay) pass(got *sidecarhttp.Answer) error {
-	if a.first.IsZero() {
-		a.first = a.clock.Now()
+// forward sends an endpoint's answer to the caller. It returns nil if the caller
+// has received all of it.
+func (a *relay) forward(got *sidecarhttp.Answer) error {
+	if a.firstByteAt.IsZero() {
+		a.firstByteAt = a.clock.Now()
 	}
 	a.recordHeader(got)
 	if isStream(got) {
-		return a.passEvents(got)
+		return a.forwardEvents(got)
 	}
 	if a.sent {
 		return incomplete("the endpoint cannot resume the answer")
 	}
-	return a.passWhole(got)
+	return a.forwardBody(got)
 }
 
 func isStream(got *sidecarhttp.Answer) bool {
@@ -90,9 +91,9 @@
 	return carawayspread.NewError(carawayspread.CodeIncomplete, message)
 }
 
-// passEvents passes whole events on. The closing event is held until the
-// stream's trailer proves that nothing is missing.
-func (a *relay) passEvents(got *sidecarhttp.Answer) error {
+// forwardEvents forwards complete events. It sends the closing event only after the
+// trailer has proved that nothing is missing.
+func (a *relay) forwardEvents(got *sidecarhttp.Answer) error {
 	if a.events > 0 && got.Header.Get(sidecarhttp.HeaderResumedFrom) != strconv.Itoa(a.events) {
 		return incomplete("the endpoint does not resume where the caller stands")
 	}
@@ -101,37 +102,37 @@
 	for {
 		event, err := events.Next()
 		if err != nil {
-			return endedEarly(err)
+			return streamError(err)
 		}
 		if openai.Done(event) {
-			return a.close(event, got.Body)
+			return a.finishStream(event, got.Body)
 		}
-		if err := a.send(event); err != nil {
+		if err := a.sendEvent(event); err != nil {
 			return err
 		}
 	}
 }
 
-func endedEarly(err error) error {
+func streamError(err error) error {
 	if errors.Is(err, io.EOF) {
 		return incomplete("the stream ended without its closing event")
 	}
 	return err
 }
 
-func (a *relay) close(event []byte, body io.Reader) error {
+func (a *relay) finishStream(event []byte, body io.Reader) error {
 	event = append([]byte(nil), event...)
 	if _, err := io.Copy(io.Discard, body); err != nil {
 		return err
 	}
 	a.recordBytes(event)
-	if err := a.closing(); err != nil {
+	if err := a.beforeEnd(); err != nil {
 		return err
 	}
 	return a.write(event)
 }
 
-func (a *relay) send(event []byte) error {
+func (a *relay) sendEvent(event []byte) error {
 	if data := openai.Data(event); data != nil {
 		a.events++
 		_, _ = a.digest.Write(data)
@@ -148,16 +149,16 @@
 	return nil
 }
 
-// passWhole passes an unstreamed answer on. Its beginning is held back until
-// the answer is whole or grows too long.
-func (a *relay) passWhole(got *sidecarhttp.Answer) error {
-	held, err := io.ReadAll(io.LimitReader(got.Body, heldBack+1))
+// forwardBody forwards an unstreamed answer. It buffers the answer until it is
+// complete or exceeds maxHeldBack.
+func (a *relay) forwardBody(got *sidecarhttp.Answer) error {
+	held, err := io.ReadAll(io.LimitReader(got.Body, maxHeldBack+1))
 	if err != nil {
 		return err
 	}
 	a.recordBytes(held)
-	if len(held) <= heldBack {
-		if err := a.closing(); err != nil {
+	if len(held) <= maxHeldBack {
+		if err := a.beforeEnd(); err != nil {
 			return err
 		}
 		a.sendHeader(got)
@@ -167,13 +168,13 @@
 	if err := a.write(held); err != nil {
 		return err
 	}
-	if _, err := io.Copy(writerFunc(a.passOn), got.Body); err != nil {
+	if _, err := io.Copy(writerFunc(a.recordAndWrite), got.Body); err != nil {
 		return err
 	}
-	return a.closing()
+	return a.beforeEnd()
 }
 
-func (a *relay) passOn(p []byte) (int, error) {
+func (a *relay) recordAndWrite(p []byte) (int, error) {
 	a.recordBytes(p)
 	return len(p), a.write(p)
 }
@@ -182,7 +183,7 @@
 
 func (f writerFunc) Write(p []byte) (int, error) { return f(p) }
 
-// sendHeader sends the status and the endpoint's header once.
+// sendHeader sends the status and the endpoint's header, once for all attempts.
 func (a *relay) sendHeader(got *sidecarhttp.Answer) {
 	if a.sent {
 		return
@@ -202,5 +203,5 @@
 	a.w.WriteHeader(got.Status)
 }
 
-// sendError ends a stream whose answer is not whole.
+// sendError ends an incomplete stream with an error event.
 func (a *relay) sendError(failure *carawayspread.Error) { _ = a.write(openai.ErrorEvent(failure)) }
--- a/internal/process/entry/run.go
+++ b/internal/process/entry/run.go
@@ -13,11 +13,11 @@
 	"carawayspread/internal/request/call"
 )
 
-// run serves one request that goes to an endpoint.
+// run serves one request that is sent to an endpoint.
 func (e *Entry) run(w http.ResponseWriter, r *http.Request) {
 	started := e.clock.Now()
-	if e.leaving.Load() {
-		e.refuse(w, r, nil, leaving())
+	if e.draining.Load() {
+		e.refuse(w, r, nil, drainingError())
 		return
 	}
 	cfg := e.config.Current(r.Context())
@@ -27,23 +27,23 @@
 	}
 	c, err := call.Read(w, r, cfg, e.limits, e.newID(), started)
 	if err != nil {
-		e.refuse(w, r, nil, typed(err))
+		e.refuse(w, r, nil, toError(err))
 		return
 	}
 	w.Header().Set("X-Request-Id", c.CallerID())
-	ctx, cancel := e.scope(r.Context(), c)
+	ctx, cancel := e.runContext(r.Context(), c)
 	defer cancel()
 	if c.AtMostOnce() && c.Key() != "" {
-		e.runOnce(ctx, w, r, c)
+		e.runAtMostOnce(ctx, w, r, c)
 		return
 	}
 	e.runAnswered(ctx, w, r, c, newRelay(w, c, e.clock))
 }
 
-// scope returns the context of the run. Work that must not run twice goes on
-// when its caller has gone, so that its end is known to the caller's retry, but not
-// when the process ends.
-func (e *Entry) scope(ctx context.Context, c *call.Call) (context.Context, context.CancelFunc) {
+// runContext returns the context of the run. An at-most-once request continues after
+// its caller has disconnected, so that a retry gets its result; it is canceled when
+// the process shuts down.
+func (e *Entry) runContext(ctx context.Context, c *call.Call) (context.Context, context.CancelFunc) {
 	if c.AtMostOnce() {
 		run, end := context.WithCancelCause(context.WithoutCancel(ctx))
 		stop := context.AfterFunc(ctx, func() {
@@ -51,7 +51,7 @@
 				end(cause)
 			}
 		})
-		run, cancel := context.WithTimeout(run, longestOnce)
+		run, cancel := context.WithTimeout(run, maxAtMostOnceTime)
 		return run, func() {
 			stop()
 			cancel()
@@ -64,7 +64,7 @@
 	return context.WithCancel(ctx)
 }
 
-// runAnswered serves the call and gives its caller the final answer.
+// runAnswered serves the call and sends its caller the answer or the final error.
 func (e *Entry) runAnswered(ctx context.Context, w http.ResponseWriter, r *http.Request, c *call.Call, answer *relay) {
 	if failure := e.serve(ctx, c, answer); failure != nil {
 		e.fail(w, r, c, answer, failure)
@@ -73,34 +73,34 @@
 	e.finished(c, answer, "served")
 }
 
-// serve waits for the call's turn and runs it until its answer is whole or no
-// further attempt follows.
+// serve queues the call and runs it until its answer is complete or no further
+// attempt may follow.
 func (e *Entry) serve(ctx context.Context, c *call.Call, answer *relay) *carawayspread.Error {
-	l, ok := (*e.lanes.Load())[c.Service().Name()]
+	d, ok := (*e.dispatchers.Load())[c.Service().Name()]
 	if !ok {
 		return carawayspread.NewError(carawayspread.CodeNoEndpoint, "no endpoint of the service is known",
-			carawayspread.NotRun(), carawayspread.RetryAfter(leavingRetry))
+			carawayspread.NotRun(), carawayspread.RetryAfter(retryDelay))
 	}
-	if err := l.Wait(ctx, c.Job()); err != nil {
-		if isEnding(ctx) {
-			return leaving()
+	if err := d.Wait(ctx, c.Job()); err != nil {
+		if isShuttingDown(ctx) {
+			return drainingError()
 		}
-		return typed(err)
+		return toError(err)
 	}
 	began := e.clock.Now()
-	failure := e.attempts(ctx, l, c, answer)
-	l.Finish(c.Job(), answer.served(failure == nil, began, e.clock.Now()))
+	failure := e.attempts(ctx, d, c, answer)
+	d.Finish(c.Job(), answer.result(failure == nil, began, e.clock.Now()))
 	return failure
 }
 
-// attempts runs the call until an attempt ends well or none may follow. After
-// an attempt that may have run, no later refusal may claim that the request
-// has not run.
-func (e *Entry) attempts(ctx context.Context, l *dispatcher.Dispatcher, c *call.Call, answer *relay) *carawayspread.Error {
+// attempts runs the call until an attempt succeeds or none may follow. After an
+// attempt that may have run, a later refusal must not state that the request has
+// not run.
+func (e *Entry) attempts(ctx context.Context, d *dispatcher.Dispatcher, c *call.Call, answer *relay) *carawayspread.Error {
 	tried := map[carawayspread.EndpointID]bool{}
 	mayHaveRun := false
 	for n := 1; ; n++ {
-		failure, final := e.attempt(ctx, l, c, answer, tried, n)
+		failure, final := e.attempt(ctx, d, c, answer, tried, n)
 		if failure == nil {
 			return nil
 		}
@@ -108,52 +108,52 @@
 		e.logAttempt(c, n, failure)
 		switch {
 		case ctx.Err() != nil:
-			return gone(ctx, failure, mayHaveRun)
+			return contextError(ctx, failure, mayHaveRun)
 		case final || !answer.resumable():
-			return honest(failure, mayHaveRun)
+			return withoutNotRun(failure, mayHaveRun)
 		}
-		switch retry.Decide(failure, c.AtMostOnce(), n, l.Budget()) {
+		switch retry.Decide(failure, c.AtMostOnce(), n, d.Budget()) {
 		case retry.Unknown:
-			return unknown(failure)
+			return unknownOutcome(failure)
 		case retry.GiveUp:
-			return honest(failure, mayHaveRun)
+			return withoutNotRun(failure, mayHaveRun)
 		}
 	}
 }
 
-// leaving refuses a request that this entry does not run before it ends.
-func leaving() *carawayspread.Error {
+// drainingError refuses a request that this entry will not run before it shuts down.
+func drainingError() *carawayspread.Error {
 	return carawayspread.NewError(carawayspread.CodeDraining, "this entry is leaving",
-		carawayspread.NotRun(), carawayspread.RetryAfter(leavingRetry))
+		carawayspread.NotRun(), carawayspread.RetryAfter(retryDelay))
 }
 
-// isEnding reports whether a run is given up as the process ends.
-func isEnding(ctx context.Context) bool {
+// isShuttingDown reports whether ctx was canceled because the process shuts down.
+func isShuttingDown(ctx context.Context) bool {
 	return errors.Is(context.Cause(ctx), carawayspread.ErrShutdown)
 }
 
-// gone returns the failure of a run whose context has ended.
-func gone(ctx context.Context, failure *carawayspread.Error, mayHaveRun bool) *carawayspread.Error {
+// contextError returns the failure of a run whose context has ended.
+func contextError(ctx context.Context, failure *carawayspread.Error, mayHaveRun bool) *carawayspread.Error {
 	switch {
-	case isEnding(ctx) && !mayHaveRun:
-		return leaving()
-	case isEnding(ctx):
+	case isShuttingDown(ctx) && !mayHaveRun:
+		return drainingError()
+	case isShuttingDown(ctx):
 		return carawayspread.NewError(carawayspread.CodeDeadlineExceeded, "this entry ends before the answer does",
 			carawayspread.CausedBy(failure))
 	case !errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return honest(failure, mayHaveRun)
+		return withoutNotRun(failure, mayHaveRun)
 	}
-	return honest(carawayspread.NewError(carawayspread.CodeDeadlineExceeded, "the deadline has passed",
+	return withoutNotRun(carawayspread.NewError(carawayspread.CodeDeadlineExceeded, "the deadline has passed",
 		carawayspread.NotRun(), carawayspread.CausedBy(failure)), mayHaveRun)
 }
 
-// honest takes back the claim that a request has not run where an earlier
-// attempt may have run it.
+// withoutNotRun removes the "not run" mark of the failure if an earlier attempt may
+// have run the request.
 //
-// Failure: the first attempt is cut in the middle, the second finds no place
-// and says, rightly for itself, not run. Symptom: the caller believes that
-// nothing ran. The claim is a property of all attempts together.
-func honest(failure *carawayspread.Error, mayHaveRun bool) *carawayspread.Error {
+// If the first attempt breaks off and the second finds no slot, the second alone
+// has not run. Whether the request has run depends on all attempts together, and
+// its mark would make the caller believe that nothing ran.
+func withoutNotRun(failure *carawayspread.Error, mayHaveRun bool) *carawayspread.Error {
 	if !mayHaveRun || !failure.NotRun() {
 		return failure
 	}
@@ -161,29 +161,29 @@
 		carawayspread.RetryAfter(failure.RetryAfter()), carawayspread.CausedBy(failure))
 }
 
-func unknown(failure *carawayspread.Error) *carawayspread.Error {
+func unknownOutcome(failure *carawayspread.Error) *carawayspread.Error {
 	return carawayspread.NewError(carawayspread.CodeUnknownOutcome,
 		"the endpoint was lost while it may have been running the request; whether it ran cannot be known",
 		carawayspread.CausedBy(failure))
 }
 
-// latest is until when the first byte must be on its way.
-func latest(c *call.Call) time.Time {
-	moment := c.Job().Class.Target().Latest(c.Job().Arrived)
-	if deadline := c.Job().Deadline; !deadline.IsZero() && deadline.Before(moment) {
+// firstByteDeadline returns the time by which the first byte must be sent.
+func firstByteDeadline(c *call.Call) time.Time {
+	target := c.Job().Class.Target().Latest(c.Job().Arrived)
+	if deadline := c.Job().Deadline; !deadline.IsZero() && deadline.Before(target) {
 		return deadline
 	}
-	return moment
+	return target
 }
 
-func typed(err error) *carawayspread.Error {
+func toError(err error) *carawayspread.Error {
 	if e, ok := carawayspread.AsError(err); ok {
 		return e
 	}
 	return carawayspread.NewError(carawayspread.CodeEndpointFailed, "an internal error", carawayspread.CausedBy(err))
 }
 
-// fail gives the caller the final error, in the form that is still possible.
+// fail sends the caller the final error in the form that is still possible.
 func (e *Entry) fail(w http.ResponseWriter, r *http.Request, c *call.Call, answer *relay, failure *carawayspread.Error) {
 	e.finished(c, answer, string(failure.Code()))
 	switch {
@@ -192,8 +192,8 @@
 	case c.Stream():
 		answer.sendError(failure)
 	default:
-		// The status is out, so only a broken connection can tell the caller
-		// that the answer is not whole.
+		// The status has been sent, so only an aborted connection can show the
+		// caller that the answer is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 }
