--- a/cmd/gateway/configuration_test.go
+++ b/cmd/gateway/configuration_test.go
@@ -217,7 +217,7 @@
 		says.Resources[of] = from.Have(of)
 	}
 	for begun := time.Now(); to.sink.listed() == 0; time.Sleep(50 * time.Millisecond) {
-		f.Heard(1, from.link.Address(), says)
+		f.ObservePeer(1, from.link.Address(), says)
 		qt.Assert(t, time.Since(begun) < inForce, qt.IsTrue, qt.Commentf("no endpoints after %v", time.Since(begun)))
 	}
 }
--- a/internal/daemon/dev/dev.go
+++ b/internal/daemon/dev/dev.go
@@ -126,7 +126,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	f.base.Config().Heard(1)
+	f.base.Config().ObserveVersion(1)
 	<-ctx.Done()
 	return nil
 }
--- a/internal/daemon/entryd/daemon.go
+++ b/internal/daemon/entryd/daemon.go
@@ -152,7 +152,7 @@
 	defer d.mu.Unlock()
 	cfg := d.base.Config().Held()
 	endpoints := watch.Endpoints(d.base.Instances())
-	d.entry.Update(cfg, endpoints, len(watch.Controls(d.base.Instances(), carawayspread.InstanceEntry)))
+	d.entry.Update(cfg, endpoints, len(watch.ControlAddresses(d.base.Instances(), carawayspread.InstanceEntry)))
 	routed := 0
 	for _, endpoint := range endpoints {
 		if _, ok := cfg.Service(endpoint.Service()); ok {
@@ -178,7 +178,7 @@
 // reported passes a load report on. Its calls do not overlap. The loads are
 // those that the sidecar counted itself when it sent the report.
 func (d *Daemon) reported(r *control.LoadReport) {
-	d.base.Config().Heard(carawayspread.Version(r.GetConfigVersion()))
+	d.base.Config().ObserveVersion(carawayspread.Version(r.GetConfigVersion()))
 	if !d.loads.Complete(r) {
 		return
 	}
--- a/internal/daemon/entryd/roles.go
+++ b/internal/daemon/entryd/roles.go
@@ -49,6 +49,6 @@
 		}
 		return nil
 	}
-	entries := func() int { return len(watch.Controls(d.base.Instances(), carawayspread.InstanceEntry)) }
+	entries := func() int { return len(watch.ControlAddresses(d.base.Instances(), carawayspread.InstanceEntry)) }
 	return planner.New(service, view, entries, policy, d.base.Table(), d.base.Clock(), d.base.Log())
 }
--- a/internal/daemon/gatewayd/daemon.go
+++ b/internal/daemon/gatewayd/daemon.go
@@ -171,7 +171,7 @@
 
 // presence returns how this process stands.
 func (d *Daemon) presence() carawayspread.PeerStatus {
-	p := d.follower.Presence()
+	p := d.follower.PeerStatus()
 	p.StoreEpoch, _ = d.trueTime.Epoch()
 	p.MayHoldUsageLease = d.usage != nil && d.usage.reporter.Holds()
 	return p
@@ -184,7 +184,7 @@
 
 // Presents takes how a peer stands.
 func (d *Daemon) Presents(id uint64, address string, s carawayspread.PeerStatus) {
-	d.follower.Heard(id, address, s)
+	d.follower.ObservePeer(id, address, s)
 	d.trueTime.Heard(id, s.StoreEpoch)
 }
 
@@ -289,7 +289,7 @@
 	run(d.lines.Run)
 	run(d.peers.Run)
 	run(d.follower.RunRoutes)
-	run(d.follower.RunList)
+	run(d.follower.RunEndpoints)
 	run(func(ctx context.Context) error { return d.follower.RunPulls(ctx, d.learner) })
 	run(d.learner.Run)
 	endReports, endCounts := d.runUsage(work)
--- a/internal/daemon/sidecard/control.go
+++ b/internal/daemon/sidecard/control.go
@@ -16,8 +16,8 @@
 
 // Status tells what the sidecar holds and does.
 func (d *Daemon) Status(_ context.Context, req *control.StatusRequest) (*control.StatusResponse, error) {
-	d.base.Config().Heard(carawayspread.Version(req.GetConfigVersion()))
-	age, _ := d.base.Config().EvidenceAge()
+	d.base.Config().ObserveVersion(carawayspread.Version(req.GetConfigVersion()))
+	age, _ := d.base.Config().Staleness()
 	return &control.StatusResponse{
 		ConfigVersion: uint64(d.base.Config().Held().Version()),
 		EvidenceAgeMs: uint64(age.Milliseconds()),
--- a/internal/daemon/sidecard/daemon.go
+++ b/internal/daemon/sidecard/daemon.go
@@ -44,7 +44,7 @@
 	d.reporter = reporter.New(b.Settings().ID(), b.Clock().Now())
 	d.entries.Store(&[]netip.AddrPort{})
 	s := b.Settings()
-	d.sidecar = sidecar.New(workers(s), sidecar.WithClock(b.Clock()), sidecar.WithLog(b.Log()), sidecar.WithHeard(b.Config().Heard),
+	d.sidecar = sidecar.New(workers(s), sidecar.WithClock(b.Clock()), sidecar.WithLog(b.Log()), sidecar.WithHeard(b.Config().ObserveVersion),
 		sidecar.WithVictims(trial.New(b.Table(), b.Clock(), s.ID()+"/"+uuid.NewString())),
 		sidecar.WithAttempts(attempts.New(b.Clock())))
 	var err error
@@ -102,11 +102,11 @@
 }
 
 func (d *Daemon) listed(instances []carawayspread.Instance) {
-	entries := watch.Controls(instances, carawayspread.InstanceEntry)
+	entries := watch.ControlAddresses(instances, carawayspread.InstanceEntry)
 	if old := d.entries.Swap(&entries); !slices.Equal(*old, entries) {
 		d.reporter.Renew()
 	}
-	d.sidecars.Store(int64(len(watch.Controls(instances, carawayspread.InstanceSidecar))))
+	d.sidecars.Store(int64(len(watch.ControlAddresses(instances, carawayspread.InstanceSidecar))))
 	for _, instance := range instances {
 		if instance.ID == d.base.Settings().ID() && instance.State == carawayspread.InstanceLeaving && !d.sidecar.Draining() {
 			d.base.Log().WithField("running", d.sidecar.Drain("")).Info("sidecar is listed as leaving and drains")
--- a/internal/process/admin/admin.go
+++ b/internal/process/admin/admin.go
@@ -37,8 +37,8 @@
 // Holder holds the configuration of this process.
 type Holder interface {
 	Current(ctx context.Context) *carawayspread.Config
-	EvidenceAge() (time.Duration, bool)
-	Heard(version carawayspread.Version)
+	Staleness() (time.Duration, bool)
+	ObserveVersion(version carawayspread.Version)
 	Adopt(cfg *carawayspread.Config, r record.Record)
 }
 
--- a/internal/process/admin/change.go
+++ b/internal/process/admin/change.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		var refusal *changelog.Refusal
 		if errors.As(err, &refusal) {
-			a.holder.Heard(refusal.Current())
+			a.holder.ObserveVersion(refusal.Current())
 		}
 		return nil, err
 	}
@@ -71,7 +71,7 @@
 func (a *Admin) awaitForce(ctx context.Context, version carawayspread.Version, wait time.Duration) adminapi.Force {
 	until := a.clock.Now().Add(wait)
 	for {
-		force := a.fleet.Force(ctx, version)
+		force := a.fleet.RolloutStatus(ctx, version)
 		left := until.Sub(a.clock.Now())
 		if force.InForce || left <= 0 {
 			return force
--- a/internal/process/admin/read.go
+++ b/internal/process/admin/read.go
@@ -15,7 +15,7 @@
 
 func (a *Admin) showConfig(r *http.Request) (any, error) {
 	cfg := a.holder.Current(r.Context())
-	age, _ := a.holder.EvidenceAge()
+	age, _ := a.holder.Staleness()
 	return adminapi.Configuration{
 		Version: cfg.Version(), EvidenceAgeMs: age.Milliseconds(), Config: change.Of(cfg),
 	}, nil
@@ -71,7 +71,7 @@
 		return answer, nil
 	}
 	answer.Instances = states
-	answer.Force = fleet.ForceOf(states)
+	answer.Force = fleet.SummarizeRollout(states)
 	return answer, nil
 }
 
--- a/internal/process/confsync/bench_test.go
+++ b/internal/process/confsync/bench_test.go
@@ -34,7 +34,7 @@
 				source.append()
 				for _, s := range syncers {
 					if nudged {
-						s.Heard(source.newest())
+						s.ObserveVersion(source.newest())
 					}
 				}
 				adopting.Wait()
--- a/internal/process/confsync/peers.go
+++ b/internal/process/confsync/peers.go
@@ -149,7 +149,7 @@
 // Changes answers a peer: the records after its version, or a snapshot where
 // they are no longer held. It implements that method of control.Control.
 func (s *Syncer) Changes(ctx context.Context, request *control.ChangesRequest) (*control.ChangesResponse, error) {
-	s.Heard(carawayspread.Version(request.GetAfter()))
+	s.ObserveVersion(carawayspread.Version(request.GetAfter()))
 	held, records, known := s.since(carawayspread.Version(request.GetAfter()))
 	if held.proved.zero() {
 		return nil, twirp.NewError(twirp.Unavailable, "no configuration is known here")
--- a/internal/process/confsync/refresh.go
+++ b/internal/process/confsync/refresh.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// Heard tells that another daemon holds a version, and wakes Run where it is
+// ObserveVersion tells that another daemon holds a version, and wakes Run where it is
 // newer. A version that the log has not confirmed wakes it once only.
-func (s *Syncer) Heard(version carawayspread.Version) {
+func (s *Syncer) ObserveVersion(version carawayspread.Version) {
 	if !s.wanting(uint64(version)) {
 		return
 	}
--- a/internal/process/confsync/syncer.go
+++ b/internal/process/confsync/syncer.go
@@ -147,9 +147,9 @@
 // a peer; an empty log proves the empty one.
 func (s *Syncer) Ready() bool { return !s.state.Load().proved.zero() }
 
-// EvidenceAge returns how long ago the held version was known to be the newest;
+// Staleness returns how long ago the held version was known to be the newest;
 // ok is false where it never was.
-func (s *Syncer) EvidenceAge() (age time.Duration, ok bool) {
+func (s *Syncer) Staleness() (age time.Duration, ok bool) {
 	proved := s.state.Load().proved
 	return proved.age(s.clock.Now()), !proved.zero()
 }
--- a/internal/process/confsync/syncer_test.go
+++ b/internal/process/confsync/syncer_test.go
@@ -159,7 +159,7 @@
 		qt.Assert(t, s.Current(ctx).Version(), qt.Equals, carawayspread.Version(3))
 	}
 	qt.Check(t, source.reads, qt.Equals, 2)
-	age, ok := s.EvidenceAge()
+	age, ok := s.Staleness()
 	qt.Check(t, ok && age >= time.Hour, qt.IsTrue)
 }
 
@@ -192,7 +192,7 @@
 	}
 	qt.Assert(t, starter.Ready(), qt.IsTrue)
 	qt.Check(t, starter.Held().Version(), qt.Equals, carawayspread.Version(300))
-	age, _ := starter.EvidenceAge()
+	age, _ := starter.Staleness()
 	qt.Check(t, age >= 5*time.Second, qt.IsTrue)
 
 	source.append()
@@ -285,7 +285,7 @@
 	go func() { ended <- s.Run(ctx) }()
 	qt.Check(t, <-adopted, qt.Equals, carawayspread.Version(1))
 	source.append()
-	s.Heard(2)
+	s.ObserveVersion(2)
 	qt.Check(t, <-adopted, qt.Equals, carawayspread.Version(2))
 	cancel()
 	qt.Check(t, <-ended, qt.Equals, context.Canceled)
--- a/internal/process/entry/entry.go
+++ b/internal/process/entry/entry.go
@@ -38,8 +38,8 @@
 	// Current returns the configuration, refreshed first when this process
 	// cannot show that the one it holds is recent.
 	Current(ctx context.Context) *carawayspread.Config
-	// Heard takes a version that another process names.
-	Heard(version carawayspread.Version)
+	// ObserveVersion takes a version that another process names.
+	ObserveVersion(version carawayspread.Version)
 }
 
 // Entry serves callers. It is an http.Handler and safe for concurrent use.
--- a/internal/process/fleet/bench_test.go
+++ b/internal/process/fleet/bench_test.go
@@ -48,7 +48,7 @@
 	if m.cut.Load() {
 		return nil, carawayspread.ErrUnavailable
 	}
-	m.syncer.Heard(carawayspread.Version(r.GetConfigVersion()))
+	m.syncer.ObserveVersion(carawayspread.Version(r.GetConfigVersion()))
 	return &control.StatusResponse{Instance: m.id, ConfigVersion: uint64(m.syncer.Held().Version())}, nil
 }
 
@@ -141,7 +141,7 @@
 	for {
 		states, err := f.Status(context.Background(), version)
 		qt.Assert(b, err, qt.IsNil)
-		if len(states)-len(ForceOf(states).Unconfirmed) >= confirmed {
+		if len(states)-len(SummarizeRollout(states).Unconfirmed) >= confirmed {
 			return time.Since(began)
 		}
 		time.Sleep(100 * time.Millisecond)
--- a/internal/process/fleet/fleet.go
+++ b/internal/process/fleet/fleet.go
@@ -99,17 +99,17 @@
 	return "not reachable"
 }
 
-// Force tells whether every listed instance confirmed a version.
-func (f *Fleet) Force(ctx context.Context, version carawayspread.Version) adminapi.Force {
+// RolloutStatus tells whether every listed instance confirmed a version.
+func (f *Fleet) RolloutStatus(ctx context.Context, version carawayspread.Version) adminapi.Force {
 	states, err := f.Status(ctx, version)
 	if err != nil {
 		return adminapi.Force{Unlisted: "the instance list cannot be read"}
 	}
-	return ForceOf(states)
+	return SummarizeRollout(states)
 }
 
-// ForceOf sums up the states of all listed instances.
-func ForceOf(states []adminapi.Instance) adminapi.Force {
+// SummarizeRollout sums up the states of all listed instances.
+func SummarizeRollout(states []adminapi.Instance) adminapi.Force {
 	force := adminapi.Force{}
 	for _, state := range states {
 		if state.Confirmed {
--- a/internal/process/fleet/fleet_test.go
+++ b/internal/process/fleet/fleet_test.go
@@ -53,7 +53,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			f := New(list, func(string) control.Control { return &test.peer })
-			force := f.Force(context.Background(), 7)
+			force := f.RolloutStatus(context.Background(), 7)
 			qt.Check(t, force.InForce, qt.Equals, test.confirmed)
 			if !test.confirmed {
 				qt.Check(t, force.Unconfirmed[0].Reason, qt.Equals, test.reason)
--- a/internal/process/follower/follower.go
+++ b/internal/process/follower/follower.go
@@ -26,8 +26,8 @@
 	Learn(carawayspread.Knowledge) (bool, error)
 }
 
-// Asker has a peer hand on what it knows of a matter.
-type Asker interface {
+// PeerFetcher has a peer hand on what it knows of a matter.
+type PeerFetcher interface {
 	Ask(ctx context.Context, peer string, of carawayspread.Resource) error
 	// AskTime has it bound the store's steady clock alone.
 	AskTime(ctx context.Context, peer string) error
@@ -110,8 +110,8 @@
 	return f.rota.Stale(carawayspread.ResourceRoutes) || f.rota.Stale(carawayspread.ResourceEndpoints)
 }
 
-// Presence returns what this process says of itself.
-func (f *Follower) Presence() carawayspread.PeerStatus {
+// PeerStatus returns what this process says of itself.
+func (f *Follower) PeerStatus() carawayspread.PeerStatus {
 	s := carawayspread.PeerStatus{Zone: f.zone, Capacity: f.capacity, CanReadStore: f.rota.Able()}
 	for of := range carawayspread.ResourceCount {
 		age, ever := f.rota.Age(of)
@@ -138,13 +138,13 @@
 	return own
 }
 
-// Heard takes what a peer says of itself.
+// ObservePeer takes what a peer says of itself.
 //
 // A version that a peer claims is believed only for contents that are the same
 // here, and only as long as they are: a message that is forged or damaged costs a
 // call to the store, since this process reads for itself when nothing else is newer,
 // and moves nothing back.
-func (f *Follower) Heard(id uint64, peer string, s carawayspread.PeerStatus) {
+func (f *Follower) ObservePeer(id uint64, peer string, s carawayspread.PeerStatus) {
 	f.rota.Heard(id, s)
 	now := f.clock.Now()
 	for of := range carawayspread.ResourceCount {
@@ -214,7 +214,7 @@
 
 // RunPulls has peers hand on what they know and this process does not, until ctx
 // ends. No matter waits for another one's transfer.
-func (f *Follower) RunPulls(ctx context.Context, asker Asker) error {
+func (f *Follower) RunPulls(ctx context.Context, asker PeerFetcher) error {
 	var running sync.WaitGroup
 	for of := range carawayspread.ResourceCount {
 		running.Go(func() { f.runPulls(ctx, asker, of) })
@@ -223,7 +223,7 @@
 	return ctx.Err()
 }
 
-func (f *Follower) runPulls(ctx context.Context, asker Asker, of carawayspread.Resource) {
+func (f *Follower) runPulls(ctx context.Context, asker PeerFetcher, of carawayspread.Resource) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -234,7 +234,7 @@
 	}
 }
 
-func (f *Follower) pull(ctx context.Context, asker Asker, c claim) {
+func (f *Follower) pull(ctx context.Context, asker PeerFetcher, c claim) {
 	if f.agrees(c) || c.claim.Version <= f.have(c.of).Version {
 		return // it has come from elsewhere meanwhile
 	}
@@ -254,8 +254,8 @@
 	f.moved(c.of)
 }
 
-// RunList follows the endpoints until ctx ends.
-func (f *Follower) RunList(ctx context.Context) error {
+// RunEndpoints follows the endpoints until ctx ends.
+func (f *Follower) RunEndpoints(ctx context.Context) error {
 	return f.run(ctx, carawayspread.ResourceEndpoints, func() {
 		begun := f.clock.Now()
 		err := f.source.Read(ctx, carawayspread.ResourceEndpoints)
--- a/internal/process/follower/follower_test.go
+++ b/internal/process/follower/follower_test.go
@@ -214,7 +214,7 @@
 		deaf := other.deaf
 		other.mu.Unlock()
 		if other != n && !deaf && (!zone || other.zone == n.zone || other.largest) {
-			other.follower.Heard(n.id, n.name(), p)
+			other.follower.ObservePeer(n.id, n.name(), p)
 		}
 	}
 }
@@ -248,7 +248,7 @@
 	n.uptime = standing{time.Now().Add(-time.Duration(id) * time.Hour)}
 	n.clock = storetime.New(n.uptime)
 	n.rota = readers.New(id, zone, capacity, terms, carawayspread.SystemClock())
-	n.follower = New(n, n.rota, zone, capacity, func() { n.say(n.follower.Presence(), true) }, carawayspread.SystemClock(), n.clock)
+	n.follower = New(n, n.rota, zone, capacity, func() { n.say(n.follower.PeerStatus(), true) }, carawayspread.SystemClock(), n.clock)
 	return n
 }
 
@@ -263,7 +263,7 @@
 		}
 	}
 	for _, n := range w.nodes {
-		go func() { _ = n.follower.RunList(ctx) }()
+		go func() { _ = n.follower.RunEndpoints(ctx) }()
 		go func() { _ = n.follower.RunRoutes(ctx) }()
 		go func() { _ = n.follower.RunPulls(ctx, n) }()
 		if keyed {
@@ -271,7 +271,7 @@
 		}
 		go func() {
 			for ctx.Err() == nil {
-				n.say(n.follower.Presence(), false)
+				n.say(n.follower.PeerStatus(), false)
 				time.Sleep(beat)
 			}
 		}()
@@ -479,7 +479,7 @@
 func TestSuspendedReaderMovesNothingBack(t *testing.T) {
 	play(t, 2, 4, func(w *world) {
 		reader := w.nodes[0]
-		before := reader.follower.Presence()
+		before := reader.follower.PeerStatus()
 		old := reader.Have(carawayspread.ResourceEndpoints)
 		reader.set(func() { reader.mute, reader.deaf, reader.away = true, true, true })
 		time.Sleep(settle)
@@ -506,7 +506,7 @@
 				for of := range carawayspread.ResourceCount {
 					forged.Resources[of] = carawayspread.ResourceStatus{Version: 1 << 60, Digest: 99}
 				}
-				n.follower.Heard(77, w.nodes[1].name(), forged)
+				n.follower.ObservePeer(77, w.nodes[1].name(), forged)
 			}
 		}
 		for of := range carawayspread.ResourceCount {
@@ -523,7 +523,7 @@
 			for of := range carawayspread.ResourceCount {
 				forged.Resources[of] = carawayspread.ResourceStatus{Version: 1 << 60, Digest: n.Have(of).Digest}
 			}
-			n.follower.Heard(77, w.nodes[1].name(), forged)
+			n.follower.ObservePeer(77, w.nodes[1].name(), forged)
 		}
 		w.store.change(carawayspread.ResourceEndpoints)
 		w.store.change(carawayspread.ResourceRoutes)
--- a/internal/process/follower/evidence.go
+++ b/internal/process/follower/freshness.go
@@ -41,7 +41,7 @@
 // RunStoreClock keeps the store's clock known until ctx ends: by the peer that reads the
 // store, or by a call where that does not help. Processes that learn all from peers
 // make no call of their own for long.
-func (f *Follower) RunStoreClock(ctx context.Context, asker Asker) error {
+func (f *Follower) RunStoreClock(ctx context.Context, asker PeerFetcher) error {
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/process/follower/evidence_test.go
+++ b/internal/process/follower/freshness_test.go
@@ -192,7 +192,7 @@
 			n.take(carawayspread.ResourceRoutes, carawayspread.ResourceStatus{Version: 2, Digest: 2, StoreTime: time.Second})
 			var p carawayspread.PeerStatus
 			p.Resources[carawayspread.ResourceRoutes] = carawayspread.ResourceStatus{Version: 2, Digest: 2, StoreTime: time.Minute}
-			f.Heard(2, "peer", p)
+			f.ObservePeer(2, "peer", p)
 		}
 		had := f.have(carawayspread.ResourceRoutes)
 		qt.Check(t, had.Version, qt.Equals, uint64(1))
--- a/internal/process/watch/watch.go
+++ b/internal/process/watch/watch.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// Controls returns the control addresses of the live instances of a role.
-func Controls(instances []carawayspread.Instance, role carawayspread.InstanceRole) []netip.AddrPort {
+// ControlAddresses returns the control addresses of the live instances of a role.
+func ControlAddresses(instances []carawayspread.Instance, role carawayspread.InstanceRole) []netip.AddrPort {
 	addresses := []netip.AddrPort{}
 	for _, instance := range instances {
 		address, err := netip.ParseAddrPort(instance.Control)
