--- a/internal/daemon/entryd/control.go
+++ b/internal/daemon/entryd/control.go
@@ -16,20 +16,20 @@
 
 // Status tells what the entry holds and does.
 func (d *Daemon) Status(_ context.Context, req *control.StatusRequest) (*control.StatusResponse, error) {
-	d.base.Config().Heard(carawayspread.Version(req.GetConfigVersion()))
-	age, _ := d.base.Config().EvidenceAge()
+	d.base.Config().ObserveVersion(carawayspread.Version(req.GetConfigVersion()))
+	age, _ := d.base.Config().Staleness()
 	return &control.StatusResponse{
 		EvidenceAgeMs: uint64(age.Milliseconds()),
 		Instance:      d.base.Settings().ID(),
 		Role:          string(carawayspread.InstanceEntry),
 		ConfigVersion: uint64(d.base.Config().Held().Version()),
-		Draining:      d.entry.Leaving(),
+		Draining:      d.entry.Draining(),
 	}, nil
 }
 
 // Drain makes the entry refuse new requests.
 func (d *Daemon) Drain(_ context.Context, req *control.DrainRequest) (*control.DrainResponse, error) {
-	d.entry.Leave()
+	d.entry.Drain()
 	d.base.Log().WithField("actor", req.GetActor()).Info("drain ordered")
 	return &control.DrainResponse{}, nil
 }
--- a/internal/daemon/entryd/daemon.go
+++ b/internal/daemon/entryd/daemon.go
@@ -38,9 +38,9 @@
 	ledger  *ledger.Ledger
 	changed chan struct{} // holds one word that the configuration changed
 	known   atomic.Pointer[directory]
-	loads   *loads.Loads // used by reported alone
-	routed  atomic.Int64 // endpoints that the entry was given
-	mu      sync.Mutex   // serialises updates of the entry's endpoints
+	loads   *loads.Completer // used by reported alone
+	routed  atomic.Int64     // endpoints that the entry was given
+	mu      sync.Mutex       // serialises updates of the entry's endpoints
 }
 
 // directory resolves the endpoints that reports name by their hash; immutable.
@@ -73,7 +73,7 @@
 
 func (d *Daemon) listen() error {
 	s := d.base.Settings()
-	ready := func() bool { return !d.entry.Leaving() && d.Known() > 0 }
+	ready := func() bool { return !d.entry.Draining() && d.Known() > 0 }
 	callers := http.NewServeMux()
 	callers.Handle("/", d.entry)
 	server.ObserveHealth(callers, ready)
@@ -133,7 +133,7 @@
 	case <-work.Done():
 		return work.Err()
 	}
-	d.entry.Leave()
+	d.entry.Drain()
 	d.base.Log().Info("entry leaves")
 	return d.base.Finish(work, d.data, d.data.Shutdown)
 }
@@ -152,7 +152,7 @@
 	defer d.mu.Unlock()
 	cfg := d.base.Config().Held()
 	endpoints := watch.Endpoints(d.base.Instances())
-	d.entry.Update(cfg, endpoints, len(watch.Controls(d.base.Instances(), carawayspread.InstanceEntry)))
+	d.entry.Update(cfg, endpoints, len(watch.ControlAddresses(d.base.Instances(), carawayspread.InstanceEntry)))
 	routed := 0
 	for _, endpoint := range endpoints {
 		if _, ok := cfg.Service(endpoint.Service()); ok {
@@ -178,7 +178,7 @@
 // reported passes a load report on. Its calls do not overlap. The loads are
 // those that the sidecar counted itself when it sent the report.
 func (d *Daemon) reported(r *control.LoadReport) {
-	d.base.Config().Heard(carawayspread.Version(r.GetConfigVersion()))
+	d.base.Config().ObserveVersion(carawayspread.Version(r.GetConfigVersion()))
 	if !d.loads.Complete(r) {
 		return
 	}
--- a/internal/daemon/entryd/roles.go
+++ b/internal/daemon/entryd/roles.go
@@ -44,11 +44,11 @@
 		Clock: d.base.Clock(), Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), Zone: d.base.Settings().Zone(),
 	})
 	view := func() planner.View {
-		if l := d.entry.Lane(service); l != nil {
+		if l := d.entry.Dispatcher(service); l != nil {
 			return l
 		}
 		return nil
 	}
-	entries := func() int { return len(watch.Controls(d.base.Instances(), carawayspread.InstanceEntry)) }
+	entries := func() int { return len(watch.ControlAddresses(d.base.Instances(), carawayspread.InstanceEntry)) }
 	return planner.New(service, view, entries, policy, d.base.Table(), d.base.Clock(), d.base.Log())
 }
--- /dev/null
+++ b/internal/process/gateway/quarantine_test.go
@@ -0,0 +1,97 @@
+package gateway
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"carawayspread"
+)
+
+// Guards against a request that crashes one endpoint after the other: it must be refused after two
+// crashes, also when the caller sends it under new identifiers and a peer saw one of the crashes.
+// Other requests are still served.
+func TestHarmfulRequestIsRefused(t *testing.T) {
+	b := newHarness(t, disconnect())
+	_, _, err := b.post(t, "/never/x", "poison")
+	qt.Assert(t, err, qt.IsNil)
+	b.gateway.RecordCrash(fingerprint("/never/x", []byte("poison")), "elsewhere", false)
+	resp, body, err := b.post(t, "/never/x", "poison")
+	qt.Assert(t, err, qt.IsNil)
+	qt.Check(t, resp.StatusCode, qt.Equals, 503)
+	qt.Check(t, body, qt.Contains, `"notRun":true`)
+	qt.Check(t, b.transport.all(), qt.HasLen, 1)
+	resp, _, err = b.post(t, "/never/x", "innocent")
+	qt.Assert(t, err, qt.IsNil)
+	qt.Check(t, resp.StatusCode, qt.Equals, 200)
+}
+
+// Guards against quarantining a harmless request that many callers send: its connection breaks
+// twice in two minutes, at two endpoints that give no further sign of running. An answer in between
+// shows that the request crashes nothing.
+func TestAnsweredRequestIsNotQuarantined(t *testing.T) {
+	b := newHarness(t)
+	same := fingerprint("/safe/x", []byte("harmless"))
+	for _, id := range []carawayspread.EndpointID{"one", "another"} {
+		b.gateway.RecordCrash(same, id, false)
+		resp, _, err := b.post(t, "/safe/x", "harmless")
+		qt.Assert(t, err, qt.IsNil)
+		qt.Check(t, resp.StatusCode, qt.Equals, 200)
+	}
+}
+
+// Guards against quarantining a harmless request because two endpoints broke off its answers: both
+// answer other requests right after, so the crashes are withdrawn, also at the peers.
+func TestInterruptedAnswersDoNotKeepQuarantine(t *testing.T) {
+	b := newHarness(t, disconnect(), disconnect())
+	var withdrawals []carawayspread.EndpointID
+	b.gateway.reportCrash = func(_ uint64, id carawayspread.EndpointID, withdrawn bool) {
+		if withdrawn {
+			withdrawals = append(withdrawals, id)
+		}
+	}
+	_, _, err := b.post(t, "/safe/x", "harmless")
+	qt.Assert(t, err, qt.IsNil)
+	failed := b.transport.all()
+	qt.Assert(t, failed, qt.HasLen, 2)
+	resp, _, err := b.post(t, "/safe/x", "harmless")
+	qt.Assert(t, err, qt.IsNil)
+	qt.Check(t, resp.StatusCode, qt.Equals, 503)
+	for i := range 20 {
+		b.clock.Advance(10 * time.Millisecond)
+		_, _, err := b.post(t, "/safe/x", fmt.Sprint("other ", i))
+		qt.Assert(t, err, qt.IsNil)
+	}
+	resp, _, err = b.post(t, "/safe/x", "harmless")
+	qt.Assert(t, err, qt.IsNil)
+	qt.Check(t, resp.StatusCode, qt.Equals, 200)
+	qt.Check(t, len(withdrawals) > 0, qt.IsTrue)
+}
+
+// Guards against a process that refuses a request for two minutes while its peers answer it: two
+// endpoints broke off their answers and then took long to show that they are running, and the
+// peers, which had just started, knew of no crash that their answers could withdraw.
+func TestRequestAnsweredByPeersLeavesQuarantine(t *testing.T) {
+	b, other := newHarness(t, disconnect(), disconnect()), newHarness(t)
+	_, _, err := b.post(t, "/safe/x", "harmless")
+	qt.Assert(t, err, qt.IsNil)
+	b.gateway.reportCrash = func(fingerprint uint64, id carawayspread.EndpointID, withdrawn bool) {
+		other.gateway.RecordCrash(fingerprint, id, withdrawn)
+	}
+	other.gateway.reportCrash = func(fingerprint uint64, id carawayspread.EndpointID, withdrawn bool) {
+		b.gateway.RecordCrash(fingerprint, id, withdrawn)
+	}
+	other.gateway.reportAnswer = b.gateway.AnsweredByPeer
+	for range 100 {
+		b.clock.Advance(100 * time.Millisecond)
+		other.gateway.RefusedByPeer(b.gateway.Refused()) // as heartbeats do
+		resp, _, err := other.post(t, "/safe/x", "harmless")
+		qt.Assert(t, err, qt.IsNil)
+		qt.Check(t, resp.StatusCode, qt.Equals, 200)
+	}
+	resp, _, err := b.post(t, "/safe/x", "harmless")
+	qt.Assert(t, err, qt.IsNil)
+	qt.Check(t, resp.StatusCode, qt.Equals, 200)
+}
--- a/internal/process/reporter/reporter_test.go
+++ b/internal/process/reporter/reporter_test.go
@@ -10,9 +10,9 @@
 	"carawayspread/internal/process/reporter"
 )
 
-// An entry hears of what changed with the next two reports, and of what only
-// swings with the next full one.
-func TestChangeIsToldAtOnce(t *testing.T) {
+// Guards against changes that reach entries late: a change must be in the next two reports, as one
+// may be lost. Small variations of a rate wait for the periodic full report.
+func TestChangeIsReportedAtOnce(t *testing.T) {
 	tests := map[string]struct {
 		change func(*control.EndpointLoad, *reporter.Reporter)
 		full   bool
@@ -20,8 +20,8 @@
 		"role":         {full: true, change: func(l *control.EndpointLoad, _ *reporter.Reporter) { l.Role = "decode" }},
 		"models":       {full: true, change: func(l *control.EndpointLoad, _ *reporter.Reporter) { l.Models = []string{"b"} }},
 		"rate doubled": {full: true, change: func(l *control.EndpointLoad, _ *reporter.Reporter) { l.DecodeRate *= 2 }},
-		"rate swings":  {full: false, change: func(l *control.EndpointLoad, _ *reporter.Reporter) { l.DecodeRate *= 1.1 }},
-		"new entry":    {full: true, change: func(_ *control.EndpointLoad, r *reporter.Reporter) { r.Renew() }},
+		"rate varies":  {full: false, change: func(l *control.EndpointLoad, _ *reporter.Reporter) { l.DecodeRate *= 1.1 }},
+		"new entry":    {full: true, change: func(_ *control.EndpointLoad, r *reporter.Reporter) { r.ForceFull() }},
 		"load":         {full: false, change: func(l *control.EndpointLoad, _ *reporter.Reporter) { l.Running++ }},
 	}
 	for name, test := range tests {
