--- a/internal/daemon/gatewayd/daemon.go
+++ b/internal/daemon/gatewayd/daemon.go
@@ -24,8 +24,8 @@
 	"carawayspread/internal/connection/storetime"
 	"carawayspread/internal/controller/rolekeeper"
 	"carawayspread/internal/daemon/server"
-	"carawayspread/internal/decision/readers"
-	"carawayspread/internal/decision/truetime"
+	"carawayspread/internal/decision/clocksync"
+	"carawayspread/internal/decision/zonereader"
 	"carawayspread/internal/process/decisionlog"
 	"carawayspread/internal/process/follower"
 	"carawayspread/internal/process/gateway"
@@ -73,11 +73,11 @@
 	gateway  *gateway.Gateway
 	peers    *peers.Socket
 	placer   carawayspread.Placer
-	rota     *readers.Rota
+	rota     *zonereader.Election
 	follower *follower.Follower
 	learner  *knowledge.Learner
 	keeper   *rolekeeper.Keeper // nil where no role changes
-	trueTime *truetime.Clock
+	trueTime *clocksync.Clock
 	usage    *usageDuty // nil where no usage is reported
 	listed   atomic.Bool
 	leaving  atomic.Bool
@@ -110,13 +110,13 @@
 	if !known {
 		d.log.WithField("placement", s.Placement()).Warn("unknown placement, the default is used")
 	}
-	d.trueTime = truetime.New(clock, ports.StoreTime.Now)
+	d.trueTime = clocksync.New(clock, ports.StoreTime.Now)
 	d.placer = newPlacer(carawayspread.Environment{
 		Clock: clock, Zone: s.Zone(), Broadcast: d.peers.Broadcast,
 		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 	d.gateway = gateway.New(ports.Exchange, ports.Protocol, d.placer, clock, d.lines,
-		gateway.WithConfigFreshness(evidence{d}, s.Revoked(), s.Terms().InForce),
+		gateway.WithConfigFreshness(evidence{d}, s.Revoked(), s.Terms().ConfigApply),
 		gateway.WithUsage(d.began),
 		gateway.WithRetryBudget(s.Budget(), d.peers.FleetSize),
 		gateway.WithFeedback(d.peers.BroadcastFeedback, d.peers.Membership),
@@ -140,13 +140,13 @@
 // follow prepares the learning of routes and endpoints.
 func (d *Daemon) follow(ports Ports) {
 	s := d.settings
-	d.rota = readers.New(d.peers.ID(), s.Zone(), s.Capacity(), s.Terms(), d.clock)
+	d.rota = zonereader.New(d.peers.ID(), s.Zone(), s.Capacity(), s.Terms(), d.clock)
 	d.follower = follower.New(ports.Source(d), d.rota, s.Zone(), s.Capacity(), d.peers.Announce, d.clock, ports.StoreTime)
 	d.peers.SetStatusFunc(d.presence)
 	d.learner = knowledge.New(d.follower, d.peers.PeerAddresses, d.clock, d.log, d.gateway.Metrics(),
 		knowledge.WithStoreTime(ports.Uptime, ports.StoreTime.Observe))
 	d.gateway.Metrics().NewGauge("gateway_reads_store", func() float64 {
-		if d.rota.Reads() {
+		if d.rota.IsReader() {
 			return 1
 		}
 		return 0
@@ -171,7 +171,7 @@
 
 // presence returns how this process stands.
 func (d *Daemon) presence() carawayspread.PeerStatus {
-	p := d.follower.Presence()
+	p := d.follower.PeerStatus()
 	p.StoreEpoch, _ = d.trueTime.Epoch()
 	p.MayHoldUsageLease = d.usage != nil && d.usage.reporter.Holds()
 	return p
@@ -184,8 +184,8 @@
 
 // ApplyPeerStatus takes how a peer stands.
 func (d *Daemon) ApplyPeerStatus(id uint64, address string, s carawayspread.PeerStatus) {
-	d.follower.Heard(id, address, s)
-	d.trueTime.Heard(id, s.StoreEpoch)
+	d.follower.ObservePeer(id, address, s)
+	d.trueTime.ObservePeer(id, s.StoreEpoch)
 }
 
 // RecordCrash takes a request that broke an endpoint before a peer.
@@ -291,7 +291,7 @@
 	run(d.lines.Run)
 	run(d.peers.Run)
 	run(d.follower.RunRoutes)
-	run(d.follower.RunList)
+	run(d.follower.RunEndpoints)
 	run(func(ctx context.Context) error { return d.follower.RunPulls(ctx, d.learner) })
 	run(d.learner.Run)
 	endReports, endCounts := d.runUsage(work)
--- /dev/null
+++ b/internal/process/gateway/finish.go
@@ -0,0 +1,149 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"strconv"
+
+	"carawayspread"
+	"carawayspread/internal/connection/bearer"
+	"carawayspread/internal/connection/hopbyhop"
+	"carawayspread/internal/process/decisionlog"
+)
+
+// endToEnd returns a copy without hop-by-hop headers, Content-Length and Expect.
+func endToEnd(h http.Header) http.Header {
+	out := make(http.Header, len(h)+4)
+	for name, values := range h {
+		out[name] = values
+	}
+	hopbyhop.Strip(out)
+	delete(out, "Content-Length")
+	delete(out, "Expect")
+	return out
+}
+
+// shuttingDown reports whether the request is abandoned because the process is ending.
+func (c *call) shuttingDown() bool {
+	return errors.Is(context.Cause(c.r.Context()), carawayspread.ErrShutdown)
+}
+
+// fail gives the final answer to a request that has no complete answer from an endpoint.
+func (c *call) fail(ctx context.Context, err error) {
+	switch {
+	case c.r.Context().Err() != nil && !c.shuttingDown():
+		c.finish("callerLeft", 0)
+		panic(http.ErrAbortHandler)
+	case c.started:
+		// The answer broke off and cannot be resumed. Resetting the connection is the only
+		// ending that no HTTP client takes for a complete answer.
+		c.line.Text("error", err.Error())
+		c.finish("cut", 0)
+		panic(http.ErrAbortHandler)
+	case c.ran == 0:
+		c.writeError(c.notRunError(ctx, err))
+	case ctx.Err() != nil:
+		c.writeError(carawayspread.NewError(carawayspread.CodeDeadlineExceeded, "no answer in time",
+			carawayspread.CausedBy(fmt.Errorf("%w: %w", context.Cause(ctx), err))))
+	default:
+		c.writeError(carawayspread.NewError(carawayspread.CodeEndpointFailed, "the endpoint gave no whole answer", carawayspread.CausedBy(err)))
+	}
+}
+
+// notRunError returns the refusal of a request that provably has not run.
+func (c *call) notRunError(ctx context.Context, err error) *carawayspread.Error {
+	if refusal, ok := carawayspread.AsError(err); ok && refusal.NotRun() {
+		return refusal
+	}
+	if c.shuttingDown() {
+		return c.drainingError()
+	}
+	if ctx.Err() != nil && errors.Is(err, ctx.Err()) {
+		return carawayspread.NewError(carawayspread.CodeOverloaded, "no endpoint took the request in time",
+			carawayspread.NotRun(), carawayspread.RetryAfter(retryDelay), carawayspread.CausedBy(err))
+	}
+	return carawayspread.NewError(carawayspread.CodeNoEndpoint, "no endpoint took the request",
+		carawayspread.NotRun(), carawayspread.RetryAfter(retryDelay), carawayspread.CausedBy(err))
+}
+
+// drainingError returns the refusal of a request that the process cannot answer before it ends.
+func (c *call) drainingError() *carawayspread.Error {
+	return carawayspread.NewError(carawayspread.CodeDraining, "this process is leaving",
+		carawayspread.NotRun(), carawayspread.RetryAfter(retryDelay))
+}
+
+// fingerprintText returns the fingerprint for log lines. It depends only on path and body, so it
+// stays the same when the caller sends the request again under another identifier.
+func (c *call) fingerprintText() string { return strconv.FormatUint(c.fingerprint, 36) }
+
+// logAttempt logs and counts an attempt that returned no complete answer.
+func (c *call) logAttempt(at carawayspread.Placement, phase carawayspread.Phase, why string) {
+	c.g.log.Write(decisionlog.Start("attempt").Text("id", c.metadata.ID).Text("endpoint", string(at.Endpoint.ID())).
+		Text("request", c.fingerprintText()).Text("phase", phase.String()).Text("why", why).Int("sends", int64(c.sends)).Int("ran", int64(c.ran)).
+		Ms("sinceMs", c.g.clock.Now().Sub(c.arrived)).Ms("expectedMs", at.TimeToFirstEvent).Ms("leftMs", c.deadline.Sub(c.g.clock.Now())))
+	c.g.set.GetOrCreateCounter(`gateway_failed_attempts_total{phase="` + phase.String() + `"}`).Inc()
+}
+
+// writeError answers the request with an error of the gateway's own.
+func (c *call) writeError(err *carawayspread.Error) {
+	c.line.Text("error", err.Error())
+	outcome := "failed"
+	if err.NotRun() {
+		outcome = "refused"
+	}
+	c.finish(outcome, err.Code().Status())
+	if c.connBroken {
+		panic(http.ErrAbortHandler)
+	}
+	c.closeIfDraining()
+	if err.Code() == carawayspread.CodeUnauthenticated {
+		c.w.Header().Set("WWW-Authenticate", bearer.Challenge)
+	}
+	c.g.protocol.WriteError(c.w, err)
+}
+
+// closeIfDraining makes the caller of a draining process open a new connection for its next
+// request, so that it reaches another process.
+func (c *call) closeIfDraining() {
+	if c.g.drain.Load() != nil {
+		c.w.Header().Set("Connection", "close")
+	}
+}
+
+// finish writes the request's log line and updates the metrics.
+func (c *call) finish(outcome string, status int) {
+	now := c.g.clock.Now()
+	route := "none"
+	if c.route != nil {
+		route = c.route.Name
+	}
+	took := now.Sub(c.arrived)
+	line := c.line.Text("outcome", outcome).Int("status", int64(status)).
+		Text("service", c.service.Name).Text("reader", string(c.prefillEndpoint)).Text("endpoint", string(c.endpoint)).
+		Int("sends", int64(c.sends)).Ms("expectedMs", c.firstPlacement.TimeToFirstEvent).Ms("waitMs", c.firstPlacement.QueueTime).Ms("workMs", c.firstPlacement.PrefillTime).
+		Ms("readMs", c.prefillDuration).Ms("firstMs", c.timeToFirstEvent).Ms("pauseMs", c.maxEventGap).Ms("tookMs", took).
+		Int("found", int64(c.firstPlacement.CachedTokens)).Ms("listAgeMs", c.g.listAge())
+	if c.route != nil {
+		line.Ms("targetMs", c.route.TargetLatency)
+	}
+	if outcome == "refused" {
+		line.Text("best", string(c.firstPlacement.Endpoint.ID()))
+	}
+	if outcome != "served" {
+		line.Text("request", c.fingerprintText())
+	}
+	if p := c.metadata.Prompt; p != nil {
+		if hashes := p.PrefixHashes(); len(hashes) > 1 {
+			line.Text("prefix", strconv.FormatUint(hashes[len(hashes)-2], 36))
+		}
+		line.Int("tokens", int64(p.Tokens)).Int("most", int64(p.MaxOutputTokens)).Int("hint", int64(p.LengthHint))
+	}
+	c.g.log.Write(line)
+	c.g.set.GetOrCreateCounter(`gateway_requests_total{route="` + route + `",outcome="` + outcome + `"}`).Inc()
+	if c.timeToFirstEvent > 0 {
+		c.g.set.GetOrCreateHistogram(`gateway_first_seconds{route="` + route + `"}`).Update(c.timeToFirstEvent.Seconds())
+	}
+	c.g.set.GetOrCreateHistogram(`gateway_took_seconds{route="` + route + `"}`).Update(took.Seconds())
+}
