--- a/internal/connection/transfer/packing.go
+++ b/internal/connection/transfer/packing.go
@@ -7,7 +7,7 @@
 	"io"
 )
 
-// Pack returns the body packed with gzip.
+// Pack compresses the body with gzip.
 func Pack(body []byte) ([]byte, error) {
 	var b bytes.Buffer
 	w, err := gzip.NewWriterLevel(&b, gzip.BestSpeed)
@@ -23,7 +23,7 @@
 	return b.Bytes(), nil
 }
 
-// Unpack returns what was packed, or ErrTooLarge where it has more than limit bytes.
+// Unpack decompresses a body. It returns ErrTooLarge if the result has more than limit bytes.
 func Unpack(packed []byte, limit int64) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
--- a/internal/connection/transfer/transfer.go
+++ b/internal/connection/transfer/transfer.go
@@ -1,10 +1,10 @@
-// Package transfer is the way of one answer of any size from a peer, over a connection
-// of its own.
+// Package transfer fetches one answer of any size from a peer, over a connection of its
+// own.
 //
-// Load pattern: answers from some hundred bytes to some megabytes, over links of which
-// the narrowest carry a megabyte a second, beside answers to callers. A deadline for the
-// whole answer that suits the small ones gives up each large one while it arrives, and
-// begins it again. So what is bounded is silence.
+// Answers have a few hundred bytes to a few megabytes, and the slowest links carry one
+// megabyte a second, which answers to callers share. A deadline for the whole answer that
+// suits small answers would abort every large one while it arrives, and start it again.
+// Therefore the time without any data is bounded instead.
 package transfer
 
 import (
@@ -17,25 +17,25 @@
 	"time"
 )
 
-// ErrTooLarge says that a peer sends more than was agreed on.
+// ErrTooLarge means that an answer exceeds the limit.
 var ErrTooLarge = errors.New("the answer is larger than the limit")
 
-// Limits are what ends a transfer early.
+// Limits end a transfer early.
 type Limits struct {
-	ConnectTimeout time.Duration // for the connection
-	IdleTimeout    time.Duration // without a byte
-	TotalTimeout   time.Duration // by which nobody waits for the answer any more
-	MaxBytes       int64         // of the answer, its header included
+	ConnectTimeout time.Duration // for connecting
+	IdleTimeout    time.Duration // without any data
+	TotalTimeout   time.Duration // after which the answer is no longer of use
+	MaxBytes       int64         // of the answer, including its header
 }
 
-// Transfer is one answer. It is safe for concurrent use.
+// Transfer fetches one answer. It is safe for concurrent use.
 type Transfer struct {
 	limits   Limits
 	client   *http.Client
 	received atomic.Int64
 }
 
-// New returns a transfer.
+// New returns a transfer with these limits.
 func New(l Limits) *Transfer {
 	t := &Transfer{limits: l}
 	t.client = &http.Client{
@@ -45,10 +45,10 @@
 	return t
 }
 
-// Client returns what sends the request.
+// Client returns the HTTP client for the request.
 func (t *Transfer) Client() *http.Client { return t.client }
 
-// Received returns the bytes that have arrived, headers included.
+// Received returns the number of bytes received, including headers.
 func (t *Transfer) Received() int64 { return t.received.Load() }
 
 func (t *Transfer) dial(ctx context.Context, network, address string) (net.Conn, error) {
@@ -57,28 +57,28 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: c, of: t}, nil
+	return &conn{Conn: c, transfer: t}, nil
 }
 
-// conn bounds the silence before each read, and what is read in all.
+// conn bounds the time that each read and write may wait, and the number of bytes read in total.
 type conn struct {
 	net.Conn
-	of *Transfer
+	transfer *Transfer
 }
 
 func (c *conn) Read(p []byte) (int, error) {
-	if err := c.SetReadDeadline(time.Now().Add(c.of.limits.IdleTimeout)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(c.transfer.limits.IdleTimeout)); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Read(p)
-	if received := c.of.received.Add(int64(n)); received > c.of.limits.MaxBytes {
-		return n, fmt.Errorf("%w of %d bytes", ErrTooLarge, c.of.limits.MaxBytes)
+	if received := c.transfer.received.Add(int64(n)); received > c.transfer.limits.MaxBytes {
+		return n, fmt.Errorf("%w of %d bytes", ErrTooLarge, c.transfer.limits.MaxBytes)
 	}
 	return n, err
 }
 
 func (c *conn) Write(p []byte) (int, error) {
-	if err := c.SetWriteDeadline(time.Now().Add(c.of.limits.IdleTimeout)); err != nil {
+	if err := c.SetWriteDeadline(time.Now().Add(c.transfer.limits.IdleTimeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(p)
--- a/internal/connection/transfer/transfer_test.go
+++ b/internal/connection/transfer/transfer_test.go
@@ -12,10 +12,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-var bounds = Limits{ConnectTimeout: time.Second, IdleTimeout: 200 * time.Millisecond, TotalTimeout: 10 * time.Second, MaxBytes: 1 << 20}
+var limits = Limits{ConnectTimeout: time.Second, IdleTimeout: 200 * time.Millisecond, TotalTimeout: 10 * time.Second, MaxBytes: 1 << 20}
 
-// pieces answers in pieces, with a pause before each.
-func pieces(t *testing.T, n, size int, pause time.Duration) string {
+// serveChunks serves answers of n chunks of that size, with a delay before each chunk.
+func serveChunks(t *testing.T, n, size int, delay time.Duration) string {
 	t.Helper()
 	stop := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -23,7 +23,7 @@
 			select {
 			case <-stop:
 				return
-			case <-time.After(pause):
+			case <-time.After(delay):
 			}
 			if _, err := w.Write(make([]byte, size)); err != nil {
 				return
@@ -36,7 +36,7 @@
 	return server.URL
 }
 
-func (t *Transfer) fetch(url string) (int, error) {
+func (t *Transfer) get(url string) (int, error) {
 	resp, err := t.Client().Get(url)
 	if err != nil {
 		return 0, err
@@ -46,39 +46,40 @@
 	return len(body), err
 }
 
-// Guards against a transfer that is given up while it arrives, since it takes longer than
-// a small one.
-func TestTransferThatArrivesIsNotGivenUp(t *testing.T) {
-	way := New(bounds)
-	n, err := way.fetch(pieces(t, 10, 1000, bounds.IdleTimeout/2))
+// Guards against a transfer that is aborted while data still arrives, because it takes longer than a
+// small one.
+func TestProgressingTransferIsNotAborted(t *testing.T) {
+	fetch := New(limits)
+	n, err := fetch.get(serveChunks(t, 10, 1000, limits.IdleTimeout/2))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, n, qt.Equals, 10_000)
-	qt.Check(t, way.Received() > 10_000, qt.IsTrue)
+	qt.Check(t, fetch.Received() > 10_000, qt.IsTrue)
 }
 
-// Guards against a process that waits for a peer that has fallen silent, and learns from
-// no other meanwhile.
-func TestSilentTransferEnds(t *testing.T) {
+// Guards against a process that keeps waiting for a silent peer and does not query another one
+// meanwhile.
+func TestSilentTransferIsAborted(t *testing.T) {
 	for name, url := range map[string]string{
-		"from the beginning": pieces(t, 1, 1, time.Minute),
-		"in the midst":       pieces(t, 2, 1000, 2*bounds.IdleTimeout),
+		"from the start":  serveChunks(t, 1, 1, time.Minute),
+		"after some data": serveChunks(t, 2, 1000, 2*limits.IdleTimeout),
 	} {
 		t.Run(name, func(t *testing.T) {
-			begun := time.Now()
-			_, err := New(bounds).fetch(url)
+			start := time.Now()
+			_, err := New(limits).get(url)
 			var timeout net.Error
 			qt.Check(t, errors.As(err, &timeout) && timeout.Timeout(), qt.IsTrue, qt.Commentf("%v", err))
-			qt.Check(t, time.Since(begun) < 10*bounds.IdleTimeout, qt.IsTrue)
+			qt.Check(t, time.Since(start) < 10*limits.IdleTimeout, qt.IsTrue)
 		})
 	}
 }
 
-// Guards against a peer that never ends: by time, and by bytes.
-func TestEndlessTransferEnds(t *testing.T) {
-	slow := bounds
-	slow.TotalTimeout = 5 * bounds.IdleTimeout
-	_, err := New(slow).fetch(pieces(t, 1<<20, 1, bounds.IdleTimeout/10))
+// Guards against an answer that never ends: a slow one by the total timeout, a fast one by the number
+// of bytes.
+func TestEndlessTransferIsAborted(t *testing.T) {
+	short := limits
+	short.TotalTimeout = 5 * limits.IdleTimeout
+	_, err := New(short).get(serveChunks(t, 1<<20, 1, limits.IdleTimeout/10))
 	qt.Check(t, err, qt.IsNotNil)
-	_, err = New(bounds).fetch(pieces(t, 1<<20, 64<<10, 0))
+	_, err = New(limits).get(serveChunks(t, 1<<20, 64<<10, 0))
 	qt.Check(t, errors.Is(err, ErrTooLarge), qt.IsTrue, qt.Commentf("%v", err))
 }
