--- a/internal/connection/direct/client.go
+++ b/internal/connection/direct/client.go
@@ -1,8 +1,8 @@
-// Package direct is the way to an endpoint that has no sidecar before it.
+// Package direct sends requests to endpoints that have no sidecar.
 //
-// Each request is sent once, as it is: net/http's client would repeat some
-// requests by itself on a reused connection, and add headers of its own. Both
-// are switched off, so that what an endpoint runs is what a caller sent.
+// Each request is sent once and unmodified. The client of net/http would retry some requests
+// by itself on reused connections, and add headers. Both are switched off, so that an endpoint
+// runs exactly what the caller sent.
 package direct
 
 import (
@@ -23,28 +23,26 @@
 )
 
 const (
-	// connectTimeout bounds a new connection. Endpoints answer within a few
-	// milliseconds; a lost opening packet is sent again after one second, and
-	// a caller is better served elsewhere by then.
+	// connectTimeout bounds connecting. Endpoints accept connections within a few milliseconds. A
+	// lost SYN is retransmitted after one second, and by then another endpoint is the better choice.
 	connectTimeout = 900 * time.Millisecond
-	// silence is how long sent bytes may stay unacknowledged, and probes
-	// unanswered, before the connection is given up. It must exceed a few lost
-	// packets in a row and stay below the pause at which callers leave.
-	silence = 1200 * time.Millisecond
-	// probeEvery spaces the probes of a connection on which nothing moves.
-	probeEvery = 400 * time.Millisecond
-	// idleTimeout stays below the ten seconds that endpoints state, so that a connection
-	// is rarely closed by its peer while a request is put on it.
+	// unackedTimeout is how long sent data may stay unacknowledged, and keep-alive probes
+	// unanswered, before the connection is closed. It must exceed the loss of a few packets in a
+	// row, and stay below the gap between events after which callers disconnect.
+	unackedTimeout = 1200 * time.Millisecond
+	// probeInterval is the time between keep-alive probes on an idle connection.
+	probeInterval = 400 * time.Millisecond
+	// idleTimeout is less than the ten seconds that endpoints announce, so that an endpoint rarely
+	// closes a connection while a request is being sent on it.
 	idleTimeout = 8 * time.Second
-	// idleConns are kept for each endpoint.
-	idleConns = 8
-	// headerLimit bounds the header of an answer in bytes.
-	headerLimit = 64 << 10
-	bufferSize  = 4 << 10
+	// maxIdleConns is the number of idle connections kept for each endpoint.
+	maxIdleConns = 8
+	// maxHeaderBytes bounds the header of an answer.
+	maxHeaderBytes = 64 << 10
+	bufferSize     = 4 << 10
 )
 
-// Client is a carawayspread.EndpointTransport over net/http. It is safe for concurrent
-// use.
+// Client implements carawayspread.EndpointTransport with net/http. It is safe for concurrent use.
 type Client struct {
 	transport *http.Transport
 }
@@ -54,9 +52,9 @@
 	return &Client{transport: &http.Transport{
 		DialContext:            dial,
 		DisableCompression:     true,
-		MaxIdleConnsPerHost:    idleConns,
+		MaxIdleConnsPerHost:    maxIdleConns,
 		IdleConnTimeout:        idleTimeout,
-		MaxResponseHeaderBytes: headerLimit,
+		MaxResponseHeaderBytes: maxHeaderBytes,
 		ReadBufferSize:         bufferSize,
 		WriteBufferSize:        bufferSize,
 	}}
@@ -69,37 +67,36 @@
 	dialer := net.Dialer{
 		Timeout: connectTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeEvery, Interval: probeEvery, Count: int(silence / probeEvery),
+			Enable: true, Idle: probeInterval, Interval: probeInterval, Count: int(unackedTimeout / probeInterval),
 		},
-		Control: control,
+		Control: setUserTimeout,
 	}
 	return dialer.DialContext(ctx, network, address)
 }
 
-// control bounds how long sent bytes may stay unacknowledged.
+// setUserTimeout bounds how long sent data may stay unacknowledged.
 //
-// Failure: an endpoint loses its power or its link. Symptom: requests to it
-// hang until their deadline, since nothing resets the connection. The kernel's
-// own limit is many minutes; this one is shorter than a caller's patience.
-func control(_, _ string, raw syscall.RawConn) error {
-	var failed error
+// If an endpoint loses its power or its link, nothing resets the connection, and requests would
+// hang until their deadlines. The kernel's own limit is many minutes; this one is shorter than
+// callers wait.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var sockoptErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence/time.Millisecond))
+		sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout/time.Millisecond))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockoptErr
 }
 
-// body is never rewound: net/http repeats only requests whose body it can get
-// again.
-type body struct{ r *bytes.Reader }
+// singleUseBody cannot be rewound: net/http retries only requests whose body it can read again.
+type singleUseBody struct{ r *bytes.Reader }
 
-func (b body) Read(p []byte) (int, error) { return b.r.Read(p) }
-func (body) Close() error                 { return nil }
+func (b singleUseBody) Read(p []byte) (int, error) { return b.r.Read(p) }
+func (singleUseBody) Close() error                 { return nil }
 
-// Send sends the request once.
+// Send sends the request once. Its error matches carawayspread.ErrUnsent if no connection came about.
 func (c *Client) Send(ctx context.Context, to carawayspread.Endpoint, out carawayspread.Outbound) (*carawayspread.Reply, error) {
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -109,9 +106,9 @@
 		Method: out.Method,
 		URL:    &url.URL{Scheme: "http", Host: to.Address(), Opaque: out.Target},
 		Host:   out.Host,
-		Header: outgoing(out.Header),
+		Header: withoutDefaults(out.Header),
 		Proto:  "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		Body:          body{bytes.NewReader(out.Body)},
+		Body:          singleUseBody{bytes.NewReader(out.Body)},
 		ContentLength: int64(len(out.Body)),
 	}).WithContext(ctx)
 	resp, err := c.transport.RoundTrip(req)
@@ -124,11 +121,11 @@
 	return &carawayspread.Reply{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body, Length: resp.ContentLength}, nil
 }
 
-// outgoing returns the headers without those that net/http would add.
-func outgoing(h http.Header) http.Header {
+// withoutDefaults returns a copy of the headers that keeps net/http from adding its User-Agent.
+func withoutDefaults(h http.Header) http.Header {
 	out := h.Clone()
 	if _, ok := out["User-Agent"]; !ok {
-		out["User-Agent"] = []string{""} // an empty one is left out
+		out["User-Agent"] = []string{""} // net/http does not send an empty one
 	}
 	return out
 }
--- a/internal/connection/direct/client_test.go
+++ b/internal/connection/direct/client_test.go
@@ -17,7 +17,7 @@
 	"carawayspread"
 )
 
-// listen serves raw connections; handle gets each with its number.
+// listen accepts raw connections and calls handle with each, numbered from 1.
 func listen(t *testing.T, handle func(n int64, conn net.Conn, r *bufio.Reader)) carawayspread.Endpoint {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -40,8 +40,8 @@
 	return carawayspread.NewEndpoint("w", "s", "z", listener.Addr().String(), false)
 }
 
-// head reads the head of a request as it came.
-func head(r *bufio.Reader) (string, error) {
+// readHead returns the request line and the headers as received.
+func readHead(r *bufio.Reader) (string, error) {
 	var b strings.Builder
 	for {
 		line, err := r.ReadString('\n')
@@ -61,16 +61,16 @@
 
 const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// A caller's request never runs twice because of the HTTP library. The endpoint
-// answers once on a kept connection, reads the second request and closes; the
-// library would send a GET once more by itself on a new connection.
-func TestRequestIsNeverRepeated(t *testing.T) {
+// Guards against a request that runs twice because the HTTP library retries it. The endpoint answers
+// one request on a persistent connection, reads the second and closes the connection; the library
+// would retry a GET by itself on a new connection.
+func TestRequestIsNeverRetried(t *testing.T) {
 	for name, method := range map[string]string{"get": http.MethodGet, "head": http.MethodHead, "post": http.MethodPost, "options": http.MethodOptions} {
 		t.Run(name, func(t *testing.T) {
 			var seen atomic.Int64
 			to := listen(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
 				for i := range 2 {
-					if _, err := head(r); err != nil {
+					if _, err := readHead(r); err != nil {
 						return
 					}
 					seen.Add(1)
@@ -96,12 +96,12 @@
 	}
 }
 
-// An endpoint gets the bytes of the caller: no header is added, no path is
-// cleaned, and a body has the length that it has.
-func TestRequestIsSentAsItIs(t *testing.T) {
+// An endpoint receives the request of the caller unmodified: no header is added, the path is not
+// normalized, and the length of the body is stated.
+func TestRequestIsSentUnmodified(t *testing.T) {
 	heads := make(chan string, 1)
 	to := listen(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
-		text, _ := head(r)
+		text, _ := readHead(r)
 		heads <- text
 		_, _ = io.WriteString(conn, ok)
 	})
@@ -115,31 +115,31 @@
 	qt.Check(t, <-heads, qt.Equals, "POST /a//b/../%2e%2F?x=%20&&y HTTP/1.1\r\nHost: a.example\r\nContent-Length: 4\r\nX-A: 1\r\n\r\n")
 }
 
-// A caller is told "not run" only where that is proved: nobody listens at the
-// address, so no byte was sent. Where the connection broke later it is open.
-func TestUnsentIsProved(t *testing.T) {
+// A request is reported as not sent only if that is certain: nothing listens at the address, so no
+// byte was sent. If the connection breaks later, it is unknown whether the request ran.
+func TestUnsentOnlyWithoutConnection(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	nobody := carawayspread.NewEndpoint("w", "s", "z", listener.Addr().String(), false)
+	unused := carawayspread.NewEndpoint("w", "s", "z", listener.Addr().String(), false)
 	_ = listener.Close()
 	c := New()
 	defer c.Close()
-	_, err = c.Send(context.Background(), nobody, get("/x"))
+	_, err = c.Send(context.Background(), unused, get("/x"))
 	qt.Check(t, errors.Is(err, carawayspread.ErrUnsent), qt.IsTrue)
 
-	breaks := listen(t, func(_ int64, _ net.Conn, r *bufio.Reader) { _, _ = head(r) })
-	_, err = c.Send(context.Background(), breaks, get("/x"))
+	disconnecting := listen(t, func(_ int64, _ net.Conn, r *bufio.Reader) { _, _ = readHead(r) })
+	_, err = c.Send(context.Background(), disconnecting, get("/x"))
 	qt.Check(t, err, qt.IsNotNil)
 	qt.Check(t, errors.Is(err, carawayspread.ErrUnsent), qt.IsFalse)
 }
 
-// The endpoint ends its work when the caller leaves: its connection closes.
+// Cancelling a request closes the connection, so that the endpoint stops its work.
 func TestCancelClosesTheConnection(t *testing.T) {
-	gone := make(chan struct{})
+	closed := make(chan struct{})
 	to := listen(t, func(_ int64, _ net.Conn, r *bufio.Reader) {
-		_, _ = head(r)
+		_, _ = readHead(r)
 		_, _ = r.ReadByte()
-		close(gone)
+		close(closed)
 	})
 	c := New()
 	defer c.Close()
@@ -148,21 +148,21 @@
 	_, err := c.Send(ctx, to, get("/x"))
 	qt.Check(t, errors.Is(err, context.DeadlineExceeded), qt.IsTrue)
 	select {
-	case <-gone:
+	case <-closed:
 	case <-time.After(5 * time.Second):
-		t.Error("the endpoint still works")
+		t.Error("the endpoint still runs the request")
 	}
 }
 
-// An answer that was cut is never taken for whole, whatever its framing.
-func TestCutAnswerIsNoWholeOne(t *testing.T) {
+// A truncated answer is never taken for a complete one, with either framing.
+func TestTruncatedAnswerIsAnError(t *testing.T) {
 	for name, answer := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
 		"chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			to := listen(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
-				_, _ = head(r)
+				_, _ = readHead(r)
 				_, _ = io.WriteString(conn, answer)
 			})
 			c := New()
