--- a/internal/connection/openai/answer.go
+++ b/internal/connection/openai/answer.go
@@ -22,7 +22,8 @@
 	NotRun  bool               `json:"notRun"`
 }
 
-func object(e *carawayspread.Error) errorBody {
+// newErrorBody returns the error object of the protocol.
+func newErrorBody(e *carawayspread.Error) errorBody {
 	kind := "invalid_request_error"
 	if e.Code().Status() >= http.StatusInternalServerError {
 		kind = "server_error"
@@ -30,25 +31,24 @@
 	return errorBody{Error: errorObject{Message: e.Message(), Type: kind, Code: e.Code(), NotRun: e.NotRun()}}
 }
 
-// WriteError sends the error object with its status, and Retry-After in whole
-// seconds where a retry makes sense.
+// WriteError sends the error object with its status, and Retry-After in whole seconds if a retry is
+// useful.
 func WriteError(w http.ResponseWriter, e *carawayspread.Error) {
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
 	if e.RetryAfter() > 0 {
 		header.Set("Retry-After", strconv.Itoa(int(math.Ceil(e.RetryAfter().Seconds()))))
 	}
-	// The client libraries of the protocol retry on their own unless they are
-	// told not to; only a request that is proved not to have run may be sent again.
+	// The protocol's client libraries retry by themselves unless this header forbids it. Only a
+	// request that certainly has not run may be retried.
 	header.Set("X-Should-Retry", strconv.FormatBool(e.NotRun() && e.RetryAfter() > 0))
 	w.WriteHeader(e.Code().Status())
-	_ = json.NewEncoder(w).Encode(object(e))
+	_ = json.NewEncoder(w).Encode(newErrorBody(e))
 }
 
-// ErrorEvent returns the event that ends a stream whose answer is not whole.
-// No [DONE] follows it.
+// ErrorEvent returns the event that ends the stream of an incomplete answer. No [DONE] follows it.
 func ErrorEvent(e *carawayspread.Error) []byte {
-	body, err := json.Marshal(object(e))
+	body, err := json.Marshal(newErrorBody(e))
 	if err != nil {
 		body = []byte(`{"error":{"code":"` + string(e.Code()) + `"}}`)
 	}
--- a/internal/connection/openai/decode.go
+++ b/internal/connection/openai/decode.go
@@ -1,6 +1,6 @@
-// Package openai speaks the OpenAI protocol towards callers: it reads what the
-// system needs to know of a completion request, and writes models and errors.
-// The request itself travels on unchanged.
+// Package openai implements the OpenAI protocol towards callers: it parses what scheduling needs
+// from a completion request, and writes the list of models and errors. The request itself is
+// forwarded unchanged.
 package openai
 
 import (
@@ -13,23 +13,23 @@
 )
 
 const (
-	// bytesPerToken estimates the tokens of a prompt. Four bytes is the usual
-	// average of byte-pair encodings for European text; the error is corrected
-	// by the work that the endpoint measures.
+	// bytesPerToken is used to estimate the number of tokens of a prompt. Four bytes are the usual
+	// average of byte-pair encodings of European text. The error is corrected by the work that the
+	// endpoint measures.
 	bytesPerToken = 4
-	// prefixBytes is the leading part of a prompt that decides about cache
-	// locality: 256 tokens, a few blocks of a usual prefix cache.
+	// prefixBytes is the length of the prefix of a prompt that determines cache affinity: 256
+	// tokens, which are a few blocks of a typical prefix cache.
 	prefixBytes = 1024
-	// defaultTokens is the length of an answer whose request sets no limit.
-	defaultTokens = 256
+	// defaultMaxTokens is the assumed length of an answer whose request sets no limit.
+	defaultMaxTokens = 256
 )
 
-// Completion is what the system knows of a completion request.
+// Completion contains the parsed parameters of a completion request.
 type Completion struct {
 	model  string
 	stream bool
 	cost   carawayspread.Cost
-	prefix uint64 // hash of the leading part of the prompt
+	prefix uint64 // hash of the prompt's prefix
 }
 
 type completionBody struct {
@@ -41,8 +41,8 @@
 	MaxCompletionTokens *float64        `json:"max_completion_tokens"`
 }
 
-// Decode reads a completion request. Its error names the place in the body and
-// is not run.
+// Decode parses a completion request. Its error is a *carawayspread.Error that names the field in the
+// body and states that the request has not run.
 func Decode(body []byte) (Completion, error) {
 	var b completionBody
 	if err := json.Unmarshal(body, &b); err != nil {
@@ -58,22 +58,23 @@
 	if len(prompt) == 0 {
 		return Completion{}, malformed("messages or prompt: must be present", nil)
 	}
-	tokens, err := b.tokens()
+	maxTokens, err := b.maxTokens()
 	if err != nil {
 		return Completion{}, err
 	}
-	cost := carawayspread.Cost{Prefill: len(prompt)/bytesPerToken + 1, Decode: tokens}
+	cost := carawayspread.Cost{Prefill: len(prompt)/bytesPerToken + 1, Decode: maxTokens}
 	prefix := xxhash.Sum64(prompt[:min(len(prompt), prefixBytes)])
 	return Completion{model: b.Model, stream: b.Stream, cost: cost, prefix: prefix}, nil
 }
 
-func (b completionBody) tokens() (int, error) {
+// maxTokens returns the limit of the answer in tokens.
+func (b completionBody) maxTokens() (int, error) {
 	limit := b.MaxCompletionTokens
 	if limit == nil {
 		limit = b.MaxTokens
 	}
 	if limit == nil {
-		return defaultTokens, nil
+		return defaultMaxTokens, nil
 	}
 	if *limit < 1 || *limit > math.MaxInt32 || *limit != math.Trunc(*limit) {
 		return 0, malformed("max_tokens: must be a whole number of at least 1", nil)
@@ -85,14 +86,14 @@
 	return carawayspread.NewError(carawayspread.CodeMalformed, message, carawayspread.NotRun(), carawayspread.CausedBy(cause))
 }
 
-// Model returns the model that the request names.
+// Model returns the name of the requested model.
 func (c Completion) Model() string { return c.model }
 
-// Stream reports whether the answer is to be streamed.
+// Stream reports whether the answer must be streamed.
 func (c Completion) Stream() bool { return c.stream }
 
 // Cost returns the estimated work.
 func (c Completion) Cost() carawayspread.Cost { return c.cost }
 
-// Prefix returns the hash of the leading part of the prompt.
+// Prefix returns the hash of the prompt's prefix.
 func (c Completion) Prefix() uint64 { return c.prefix }
--- a/internal/connection/openai/events.go
+++ b/internal/connection/openai/events.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	eventBuffer = 16 << 10
-	eventLimit  = 1 << 20 // bytes of one event
+	readBufferSize = 16 << 10
+	maxEventBytes  = 1 << 20
 )
 
 var (
-	dataField = []byte("data:")
-	doneMark  = []byte("[DONE]")
+	dataField  = []byte("data:")
+	doneMarker = []byte("[DONE]")
 )
 
-// Events reads server-sent events one whole event at a time, so that an event
-// that was cut in its middle is never passed on.
+// Events reads server-sent events one complete event at a time, so that a truncated event is never
+// forwarded.
 type Events struct {
 	r     *bufio.Reader
 	event []byte // reused; valid until the next call of Next
 }
 
-// NewEvents returns a reader of the events of a stream.
-func NewEvents(r io.Reader) *Events { return &Events{r: bufio.NewReaderSize(r, eventBuffer)} }
+// NewEvents returns Events that reads from the stream.
+func NewEvents(r io.Reader) *Events { return &Events{r: bufio.NewReaderSize(r, readBufferSize)} }
 
-// Next returns the bytes of the next whole event including its closing blank
-// line. They are valid until the next call. An event that the stream's end
-// cuts is dropped; the error is the stream's.
+// Next returns the bytes of the next complete event, including its terminating blank line. They are
+// valid until the next call. If the stream ends within an event, that event is dropped and Next
+// returns the error of the stream.
 func (e *Events) Next() ([]byte, error) {
 	e.event = e.event[:0]
 	lineStart := 0
 	for {
-		part, err := e.r.ReadSlice('\n')
-		e.event = append(e.event, part...)
-		if len(e.event) > eventLimit {
+		line, err := e.r.ReadSlice('\n') // or the beginning of a long line
+		e.event = append(e.event, line...)
+		if len(e.event) > maxEventBytes {
 			return nil, carawayspread.NewError(carawayspread.CodeIncomplete, "an event of the answer is too long")
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
@@ -54,7 +54,7 @@
 	}
 }
 
-// Data returns the data of an event; nil for comments and other fields.
+// Data returns the content of the first data field of an event; nil if it has none.
 func Data(event []byte) []byte {
 	for line := range bytes.Lines(event) {
 		if rest, ok := bytes.CutPrefix(line, dataField); ok {
@@ -64,5 +64,5 @@
 	return nil
 }
 
-// Done reports whether the event closes the stream.
-func Done(event []byte) bool { return bytes.Equal(Data(event), doneMark) }
+// Done reports whether the event is the [DONE] event that ends a stream.
+func Done(event []byte) bool { return bytes.Equal(Data(event), doneMarker) }
--- a/internal/connection/sidecarhttp/client.go
+++ b/internal/connection/sidecarhttp/client.go
@@ -20,115 +20,114 @@
 )
 
 const (
-	dialTimeout      = 500 * time.Millisecond
-	idlePerEndpoint  = 64
-	idleTimeout      = 90 * time.Second
-	headerLimit      = 64 << 10
-	refusalBodyLimit = 64 << 10
+	connectTimeout  = 500 * time.Millisecond
+	maxIdleConns    = 64
+	idleTimeout     = 90 * time.Second
+	maxHeaderBytes  = 64 << 10
+	maxRefusalBytes = 64 << 10
 )
 
-// Attempt is one try to have a request run at an endpoint.
+// Attempt is one attempt to run a request at an endpoint.
 type Attempt struct {
 	ID        string
 	Endpoint  carawayspread.EndpointID
-	Address   string // IP number and port of the sidecar
+	Address   string // IP address and port of the sidecar
 	Method    string
-	Path      string // at the endpoint, with its query
+	Path      string // at the endpoint, including the query
 	Header    http.Header
 	Body      []byte
-	Remaining time.Duration // for the first byte; not positive: not stated
-	// AtMostOnce forbids the transport to send the request a second time by itself.
+	Remaining time.Duration // time left for the first byte; not sent unless positive
+	// AtMostOnce keeps the transport from sending the request a second time by itself.
 	AtMostOnce bool
 }
 
-// Answer is what an endpoint answers. Its body returns io.EOF only when the
-// answer is proved to be whole; otherwise it ends with an *carawayspread.Error.
+// Answer is the answer of an endpoint. Its body returns io.EOF only if the answer is proved to be
+// complete; otherwise it ends with a *carawayspread.Error.
 type Answer struct {
 	Status int
 	Header http.Header
-	Length int64 // -1 when the endpoint did not announce it
-	Load   *Load // nil when the sidecar did not tell it
+	Length int64 // in bytes; -1 if the endpoint did not announce it
+	Load   *Load // nil if the sidecar did not report it
 	Body   io.ReadCloser
 }
 
-// Client sends attempts to sidecars, safe for concurrent use.
+// Client sends attempts to sidecars. It is safe for concurrent use.
 type Client struct {
-	shared *http.Transport
-	fresh  *http.Transport
-	stall  time.Duration
+	pooled       *http.Transport
+	unpooled     *http.Transport
+	stallTimeout time.Duration
 }
 
-// NewClient returns a client that gives up an attempt on which nothing, not
-// even a heartbeat, has arrived for stall.
-func NewClient(stall time.Duration) *Client {
-	shared := &http.Transport{
-		DialContext:            (&net.Dialer{Timeout: dialTimeout}).DialContext,
-		MaxIdleConnsPerHost:    idlePerEndpoint,
+// NewClient returns a client that cancels an attempt if neither data nor a heartbeat has arrived
+// for stallTimeout.
+func NewClient(stallTimeout time.Duration) *Client {
+	pooled := &http.Transport{
+		DialContext:            (&net.Dialer{Timeout: connectTimeout}).DialContext,
+		MaxIdleConnsPerHost:    maxIdleConns,
 		IdleConnTimeout:        idleTimeout,
-		MaxResponseHeaderBytes: headerLimit,
+		MaxResponseHeaderBytes: maxHeaderBytes,
 		DisableCompression:     true,
 	}
-	// net/http repeats a request on its own when a kept connection turns out
-	// to be closed. For work that runs at most once this would be a second
-	// start, so these attempts get a connection of their own, which is never
-	// repeated.
-	fresh := shared.Clone()
-	fresh.DisableKeepAlives = true
-	return &Client{shared: shared, fresh: fresh, stall: stall}
+	// net/http retries a request by itself if a reused connection turns out to be closed. A
+	// request that must run at most once could thereby be started twice, so such an attempt gets
+	// a new connection, on which net/http never retries.
+	unpooled := pooled.Clone()
+	unpooled.DisableKeepAlives = true
+	return &Client{pooled: pooled, unpooled: unpooled, stallTimeout: stallTimeout}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() {
-	c.shared.CloseIdleConnections()
-	c.fresh.CloseIdleConnections()
+	c.pooled.CloseIdleConnections()
+	c.unpooled.CloseIdleConnections()
 }
 
-// Do sends the attempt and returns when the answer's header is there. Its
-// error is a *carawayspread.Error, which says whether the request has not run.
+// Do sends the attempt and returns when the header of the answer has arrived. Its error is a
+// *carawayspread.Error, which states if it is certain that the request has not run.
 func (c *Client) Do(ctx context.Context, a Attempt) (*Answer, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	guard := newWatchdog(c.stall, cancel)
+	stallTimer := newWatchdog(c.stallTimeout, cancel)
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn:        func(httptrace.GotConnInfo) { connected.Store(true) },
-		Got1xxResponse: func(int, textproto.MIMEHeader) error { guard.touch(); return nil },
+		Got1xxResponse: func(int, textproto.MIMEHeader) error { stallTimer.touch(); return nil },
 	})
-	req, err := request(ctx, a)
+	req, err := newRequest(ctx, a)
 	if err != nil {
-		guard.stop()
+		stallTimer.stop()
 		cancel(nil)
 		return nil, err
 	}
 	resp, err := c.transport(a).RoundTrip(req)
 	if err != nil {
-		guard.stop()
-		failure := roundTripFailure(context.Cause(ctx), err, connected.Load())
+		stallTimer.stop()
+		failure := roundTripError(context.Cause(ctx), err, connected.Load())
 		cancel(nil)
 		return nil, failure
 	}
-	guard.touch()
-	body := &wholeBody{resp: resp, guard: guard, cancel: cancel, sum: newSum()}
+	stallTimer.touch()
+	body := &verifiedBody{resp: resp, stallTimer: stallTimer, cancel: cancel, checksum: newChecksum()}
 	if code := resp.Header.Get(HeaderRefused); code != "" {
 		defer func() { _ = body.Close() }()
-		return nil, refusal(code, resp)
+		return nil, refusalError(code, resp)
 	}
 	if resp.Header.Get(HeaderAttempt) != a.ID {
 		_ = body.Close()
 		return nil, carawayspread.NewError(carawayspread.CodeEndpointFailed, "the answer belongs to another attempt")
 	}
-	return &Answer{Status: resp.StatusCode, Header: resp.Header, Length: announced(resp), Load: ParseLoad(resp.Header), Body: body}, nil
+	return &Answer{Status: resp.StatusCode, Header: resp.Header, Length: announcedLength(resp), Load: ParseLoad(resp.Header), Body: body}, nil
 }
 
 func (c *Client) transport(a Attempt) *http.Transport {
 	if a.AtMostOnce {
-		return c.fresh
+		return c.unpooled
 	}
-	return c.shared
+	return c.pooled
 }
 
-func request(ctx context.Context, a Attempt) (*http.Request, error) {
-	// The body is a plain reader without GetBody: the transport cannot rewind
-	// it and so never sends it twice.
+func newRequest(ctx context.Context, a Attempt) (*http.Request, error) {
+	// The request has no GetBody: the transport cannot rewind the body and thus never sends it
+	// twice.
 	var body io.Reader
 	if len(a.Body) > 0 {
 		body = io.NopCloser(bytes.NewReader(a.Body))
@@ -148,9 +147,9 @@
 	return req, nil
 }
 
-func roundTripFailure(cause, err error, connected bool) *carawayspread.Error {
+func roundTripError(cause, err error, connected bool) *carawayspread.Error {
 	if !connected {
-		// Without a connection no byte has left this process.
+		// Without a connection, no byte was sent.
 		return carawayspread.NewError(carawayspread.CodeNoEndpoint, "the endpoint's sidecar cannot be reached",
 			carawayspread.NotRun(), carawayspread.CausedBy(errors.Join(ErrUnreachable, err)))
 	}
@@ -162,16 +161,16 @@
 		carawayspread.CausedBy(err))
 }
 
-// RefusalBody is the body of a refusal that the sidecar made.
+// RefusalBody is the body of a refusal by the sidecar.
 type RefusalBody struct {
 	Error struct {
 		Message string `json:"message"`
 	} `json:"error"`
 }
 
-func refusal(code string, resp *http.Response) *carawayspread.Error {
+func refusalError(code string, resp *http.Response) *carawayspread.Error {
 	var body RefusalBody
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, refusalBodyLimit))
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxRefusalBytes))
 	if json.Unmarshal(text, &body) != nil || body.Error.Message == "" {
 		body.Error.Message = "refused by the endpoint's sidecar"
 	}
@@ -188,7 +187,7 @@
 	return carawayspread.NewError(carawayspread.Code(code), body.Error.Message, opts...)
 }
 
-func announced(resp *http.Response) int64 {
+func announcedLength(resp *http.Response) int64 {
 	length, err := strconv.ParseInt(resp.Header.Get(HeaderLength), 10, 64)
 	if err != nil {
 		return -1
@@ -196,10 +195,8 @@
 	return length
 }
 
-// ErrCrashed is in the chain of an error when the endpoint crashed while it
-// ran the request.
+// ErrCrashed is in the chain of an error if the endpoint crashed while it ran the request.
 var ErrCrashed = trace.Errorf("the endpoint crashed while it ran the request")
 
-// ErrUnreachable is in the chain of an error when no connection to the sidecar
-// came about.
+// ErrUnreachable is in the chain of an error if no connection to the sidecar was established.
 var ErrUnreachable = trace.Errorf("no connection to the sidecar")
--- a/internal/connection/sidecarhttp/load.go
+++ b/internal/connection/sidecarhttp/load.go
@@ -5,24 +5,24 @@
 	"net/http"
 )
 
-// HeaderLoad tells the load of the endpoint with an answer or a refusal.
-// Control traffic cannot tell an entry of 1,300 endpoints more than a few times
-// a minute; of those that it uses it hears with every answer.
+// HeaderLoad carries the load of the endpoint with each answer and refusal. Control traffic can
+// report the load of 1,300 endpoints to an entry only a few times a minute; for the endpoints that
+// the entry uses, each answer updates it.
 const HeaderLoad = "Carawayspread-Load"
 
-// Load is what is on an endpoint when its answer begins.
+// Load is the load of an endpoint when its answer begins.
 type Load struct {
-	Running int // requests on the endpoint, with the one that is answered; not negative
-	Waiting int // requests queued before it; not negative
-	Slots   int // requests that it can batch; at least 1
+	Running int // requests at the endpoint, including the answered one; not negative
+	Waiting int // requests queued for the endpoint; not negative
+	Slots   int // requests that it can run in one batch; at least 1
 }
 
-// Write sets the header of an answer.
+// Write sets HeaderLoad.
 func (l Load) Write(header http.Header) {
 	header.Set(HeaderLoad, fmt.Sprintf("%d %d %d", l.Running, l.Waiting, l.Slots))
 }
 
-// ParseLoad reads the header of an answer; nil when it has none that is usable.
+// ParseLoad parses HeaderLoad. It returns nil if the header is missing or invalid.
 func ParseLoad(header http.Header) *Load {
 	l := &Load{}
 	n, err := fmt.Sscanf(header.Get(HeaderLoad), "%d %d %d", &l.Running, &l.Waiting, &l.Slots)
--- a/internal/connection/sidecarhttp/load_test.go
+++ b/internal/connection/sidecarhttp/load_test.go
@@ -25,8 +25,8 @@
 	})
 }
 
-// The header is optional, and one that cannot be used is as none.
-func TestUnusableLoadIsNone(t *testing.T) {
+// The header is optional, and an invalid one is treated as missing.
+func TestInvalidLoadIsIgnored(t *testing.T) {
 	qt.Check(t, sidecarhttp.ParseLoad(http.Header{}), qt.IsNil)
 	for _, text := range []string{"", "1 2", "1 2 0", "-1 2 3", "1 -2 3", "a b c"} {
 		qt.Check(t, sidecarhttp.ParseLoad(http.Header{sidecarhttp.HeaderLoad: {text}}), qt.IsNil)
--- a/internal/connection/sidecarhttp/protocol.go
+++ b/internal/connection/sidecarhttp/protocol.go
@@ -1,9 +1,9 @@
-// Package sidecarhttp is the protocol on which requests travel from an entry
-// to a sidecar: HTTP/1.1 with a few headers, interim responses as heartbeats,
-// and a trailer that says whether the answer is whole.
+// Package sidecarhttp implements the protocol between an entry and a sidecar: HTTP/1.1 with a
+// few headers, interim responses as heartbeats, and a trailer that states whether the answer is
+// complete.
 //
-// The path is /run/<endpoint>/<path at the endpoint>. A refusal by the sidecar
-// carries HeaderRefused; every other answer is the endpoint's own.
+// The path is /run/<endpoint>/<path at the endpoint>. A refusal by the sidecar carries
+// HeaderRefused; every other answer comes from the endpoint.
 package sidecarhttp
 
 import (
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// PathPrefix starts the path of every request that is to be run.
+// PathPrefix is the prefix of the path of every request to run.
 const PathPrefix = "/run/"
 
 // Headers of a request.
@@ -23,18 +23,18 @@
 	HeaderAttempt     = "Carawayspread-Attempt"     // unique for each attempt; echoed by the answer
 	HeaderRemaining   = "Carawayspread-Remaining"   // milliseconds left for the first byte
 	HeaderFingerprint = "Carawayspread-Fingerprint" // hash of the request, hexadecimal
-	HeaderTrial       = "Carawayspread-Trial"       // set when the attempt is a trial of a suspect
+	HeaderTrial       = "Carawayspread-Trial"       // set if the attempt is a trial of a request that may crash endpoints
 	HeaderConfig      = "Carawayspread-Config"      // configuration version of the sender
 )
 
 // Headers and trailers of an answer.
 const (
-	HeaderRefused = "Carawayspread-Refused" // the code of a refusal that the sidecar made
-	HeaderNotRun  = "Carawayspread-Not-Run" // the sidecar proves that the endpoint has not started the request
+	HeaderRefused = "Carawayspread-Refused" // the code of a refusal by the sidecar
+	HeaderNotRun  = "Carawayspread-Not-Run" // it is certain that the endpoint has not started the request
 	HeaderCrashed = "Carawayspread-Crashed" // the endpoint crashed while it ran the request
-	HeaderLength  = "Carawayspread-Length"  // the length that the endpoint announced
+	HeaderLength  = "Carawayspread-Length"  // the length that the endpoint announced, in bytes
 	TrailerEnd    = "Carawayspread-End"     // EndWhole, EndCut or EndCrashed
-	TrailerBytes  = "Carawayspread-Bytes"   // bytes of the body
+	TrailerBytes  = "Carawayspread-Bytes"   // length of the body
 	TrailerSum    = "Carawayspread-Sum"     // xxhash of the body, hexadecimal
 )
 
@@ -45,25 +45,23 @@
 	EndCrashed = "crashed"
 )
 
-// Headers of the resume protocol of engines.
+// Headers of the engines' resume protocol.
 const (
-	HeaderResumeOffset = "Resume-Offset" // events that the caller holds already
+	HeaderResumeOffset = "Resume-Offset" // number of events that the caller has received
 	HeaderResumeDigest = "Resume-Digest" // xxhash of their data, hexadecimal
-	HeaderResumedFrom  = "Resumed-From"  // the engine continues after that many events
+	HeaderResumedFrom  = "Resumed-From"  // number of events after which the engine continues
 )
 
-// Heartbeat is the time between interim responses while an endpoint has not
-// answered yet.
+// Heartbeat is the time between interim responses until the endpoint answers.
 const Heartbeat = time.Second
 
-// SetRemaining writes the time that is left for the first byte. It travels as
-// a duration, so that no two clocks are compared.
+// SetRemaining sets the time left for the first byte. It is sent as a duration, so that no clocks of
+// different instances are compared.
 func SetRemaining(header http.Header, left time.Duration) {
 	header.Set(HeaderRemaining, strconv.FormatInt(left.Milliseconds(), 10))
 }
 
-// Remaining reads the time that is left for the first byte; false when the
-// sender stated none.
+// Remaining returns the time left for the first byte; false if the sender stated none.
 func Remaining(header http.Header) (time.Duration, bool) {
 	ms, err := strconv.ParseInt(header.Get(HeaderRemaining), 10, 64)
 	if err != nil {
@@ -72,10 +70,10 @@
 	return time.Duration(ms) * time.Millisecond, true
 }
 
-// FormatFingerprint writes a fingerprint as the header carries it.
+// FormatFingerprint formats a fingerprint for HeaderFingerprint.
 func FormatFingerprint(fingerprint uint64) string { return strconv.FormatUint(fingerprint, 16) }
 
-// ParseFingerprint reads a fingerprint; zero when there is none.
+// ParseFingerprint parses a fingerprint; zero if there is none.
 func ParseFingerprint(text string) uint64 {
 	fingerprint, _ := strconv.ParseUint(text, 16, 64)
 	return fingerprint
