--- a/cmd/gateway/configuration_test.go
+++ b/cmd/gateway/configuration_test.go
@@ -100,7 +100,7 @@
 	link    *relay.Relay
 }
 
-func (p *peer) Lost() bool { return false }
+func (p *peer) Stale() bool { return false }
 
 func newPeer(t *testing.T, store string) *peer {
 	t.Helper()
@@ -214,7 +214,7 @@
 	says := carawayspread.PeerStatus{Zone: "z", Capacity: 2, CanReadStore: true}
 	for of := range carawayspread.ResourceCount {
 		qt.Assert(t, from.Read(t.Context(), of), qt.IsNil)
-		says.Resources[of] = from.Have(of)
+		says.Resources[of] = from.Status(of)
 	}
 	for begun := time.Now(); to.sink.listed() == 0; time.Sleep(50 * time.Millisecond) {
 		f.ObservePeer(1, from.link.Address(), says)
--- a/internal/connection/knowledge/learner.go
+++ b/internal/connection/knowledge/learner.go
@@ -51,14 +51,14 @@
 
 // Holder keeps what is known.
 type Holder interface {
-	// Have returns what is known of a matter.
-	Have(of carawayspread.Resource) carawayspread.ResourceStatus
-	// Known returns what is newer than these versions.
-	Known(routes, list uint64) carawayspread.Knowledge
+	// Status returns what is known of a matter.
+	Status(of carawayspread.Resource) carawayspread.ResourceStatus
+	// NewerThan returns what is newer than these versions.
+	NewerThan(routes, list uint64) carawayspread.Knowledge
 	// Learn takes what is newer than what it has, and reports whether it did.
 	Learn(carawayspread.Knowledge) (bool, error)
-	// Lost reports whether what is known has not been confirmed for too long.
-	Lost() bool
+	// Stale reports whether what is known has not been confirmed for too long.
+	Stale() bool
 }
 
 // Learner asks peers and answers theirs.
@@ -106,10 +106,10 @@
 // Newer implements the service.
 func (l *Learner) Newer(_ context.Context, req *NewerRequest) (*NewerResponse, error) {
 	routes := req.Routes
-	if have := l.holder.Have(carawayspread.ResourceRoutes).Version; !req.Changes && have > routes {
+	if have := l.holder.Status(carawayspread.ResourceRoutes).Version; !req.Changes && have > routes {
 		routes = 0 // the whole
 	}
-	known := l.holder.Known(routes, req.List)
+	known := l.holder.NewerThan(routes, req.List)
 	return &NewerResponse{
 		Routes:  l.toWire(carawayspread.ResourceRoutes, known.Routes, req.Changes),
 		List:    l.toWire(carawayspread.ResourceEndpoints, known.Endpoints, req.Changes),
@@ -125,7 +125,7 @@
 			return ctx.Err()
 		case <-l.clock.After(askEvery*9/10 + rand.N(askEvery/5)):
 		}
-		if l.holder.Lost() {
+		if l.holder.Stale() {
 			l.ask(ctx)
 		}
 	}
@@ -206,7 +206,7 @@
 		return false, carawayspread.ErrTooSoon
 	}
 	defer l.asking[of].Unlock()
-	return l.learnSince(ctx, peer, of, l.holder.Have(of).Version)
+	return l.learnSince(ctx, peer, of, l.holder.Status(of).Version)
 }
 
 // learnSince takes changes since that version, and the whole where they do not fit.
--- a/internal/connection/knowledge/learner_test.go
+++ b/internal/connection/knowledge/learner_test.go
@@ -28,7 +28,7 @@
 	whole bool // only the whole list fits
 }
 
-func (h *holder) Known(routes, list uint64) carawayspread.Knowledge {
+func (h *holder) NewerThan(routes, list uint64) carawayspread.Knowledge {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.asked++
@@ -45,7 +45,7 @@
 	return newer
 }
 
-func (h *holder) Have(of carawayspread.Resource) carawayspread.ResourceStatus {
+func (h *holder) Status(of carawayspread.Resource) carawayspread.ResourceStatus {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if of == carawayspread.ResourceEndpoints {
@@ -73,7 +73,7 @@
 	return learnt, nil
 }
 
-func (h *holder) Lost() bool { return h.lost }
+func (h *holder) Stale() bool { return h.lost }
 
 func document(version uint64, body string) carawayspread.Document {
 	return carawayspread.Document{Version: version, Body: []byte(body)}
--- a/internal/connection/storetime/storetime.go
+++ b/internal/connection/storetime/storetime.go
@@ -72,9 +72,9 @@
 	return max(0, now-stamp), known && stamp > 0
 }
 
-// Slack returns how much of the bound is there for drift since the last good
+// DriftAllowance returns how much of the bound is there for drift since the last good
 // reading; false where there was none.
-func (c *Clock) Slack() (time.Duration, bool) {
+func (c *Clock) DriftAllowance() (time.Duration, bool) {
 	now := c.uptime.Uptime()
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/process/follower/follower.go
+++ b/internal/process/follower/follower.go
@@ -18,10 +18,10 @@
 	Read(ctx context.Context, of carawayspread.Resource) error
 	// Watch returns when routes have changed, or after the wait.
 	Watch(ctx context.Context, wait time.Duration) error
-	// Have returns what is known of a matter.
-	Have(of carawayspread.Resource) carawayspread.ResourceStatus
-	// Known returns what is newer than these versions.
-	Known(routes, list uint64) carawayspread.Knowledge
+	// Status returns what is known of a matter.
+	Status(of carawayspread.Resource) carawayspread.ResourceStatus
+	// NewerThan returns what is newer than these versions.
+	NewerThan(routes, list uint64) carawayspread.Knowledge
 	// Learn takes what is newer than what it has, and reports whether it did.
 	Learn(carawayspread.Knowledge) (bool, error)
 }
@@ -89,24 +89,24 @@
 	return f
 }
 
-// Known returns what is newer than these versions, for a peer.
-func (f *Follower) Known(routes, list uint64) carawayspread.Knowledge {
-	known := f.source.Known(routes, list)
+// NewerThan returns what is newer than these versions, for a peer.
+func (f *Follower) NewerThan(routes, list uint64) carawayspread.Knowledge {
+	known := f.source.NewerThan(routes, list)
 	known.StoreTime, _ = f.store.Now()
 	return known
 }
 
-// Have returns what this process holds of a matter.
-func (f *Follower) Have(of carawayspread.Resource) carawayspread.ResourceStatus {
-	return f.source.Have(of)
+// Status returns what this process holds of a matter.
+func (f *Follower) Status(of carawayspread.Resource) carawayspread.ResourceStatus {
+	return f.source.Status(of)
 }
 
 // Learn takes what a peer hands on.
 func (f *Follower) Learn(k carawayspread.Knowledge) (bool, error) { return f.source.Learn(k) }
 
-// Lost reports whether neither the store nor a peer has confirmed what this
+// Stale reports whether neither the store nor a peer has confirmed what this
 // process holds for too long.
-func (f *Follower) Lost() bool {
+func (f *Follower) Stale() bool {
 	return f.rota.Stale(carawayspread.ResourceRoutes) || f.rota.Stale(carawayspread.ResourceEndpoints)
 }
 
@@ -130,7 +130,7 @@
 	k := f.known[of]
 	f.mu.Unlock()
 	// The version is read after what proves it: a newer one is proved as well.
-	own := f.source.Have(of)
+	own := f.source.Status(of)
 	if k.source == own.Version {
 		own.Version = max(own.Version, k.version)
 	}
@@ -164,7 +164,7 @@
 // agrees reports whether the peer holds what this process holds, and takes its
 // confirmation then.
 func (f *Follower) agrees(c claim) bool {
-	own := f.source.Have(c.of)
+	own := f.source.Status(c.of)
 	f.mu.Lock()
 	k := &f.known[c.of]
 	same := c.claim.Digest == own.Digest || k.alike != 0 && k.source == own.Version && c.claim.Digest == k.alike
@@ -241,7 +241,7 @@
 	if asker.Ask(ctx, c.peer, c.of) != nil {
 		return // logged by the asker; the next message says it again
 	}
-	own := f.source.Have(c.of)
+	own := f.source.Status(c.of)
 	if own.Version < c.claim.Version {
 		return // the peer handed on less than it claimed
 	}
--- a/internal/process/follower/follower_test.go
+++ b/internal/process/follower/follower_test.go
@@ -126,7 +126,7 @@
 }
 
 func (n *node) Watch(ctx context.Context, wait time.Duration) error {
-	before := n.Have(carawayspread.ResourceRoutes)
+	before := n.Status(carawayspread.ResourceRoutes)
 	for end := time.Now().Add(wait); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		n.w.store.mu.Lock()
 		changed := n.w.store.at[carawayspread.ResourceRoutes] != before.Digest
@@ -151,13 +151,13 @@
 	return true
 }
 
-func (n *node) Have(of carawayspread.Resource) carawayspread.ResourceStatus {
+func (n *node) Status(of carawayspread.Resource) carawayspread.ResourceStatus {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.have[of]
 }
 
-func (n *node) Known(_, _ uint64) carawayspread.Knowledge { return carawayspread.Knowledge{} }
+func (n *node) NewerThan(_, _ uint64) carawayspread.Knowledge { return carawayspread.Knowledge{} }
 
 func (n *node) Learn(carawayspread.Knowledge) (bool, error) { return false, nil }
 
@@ -303,7 +303,7 @@
 	w.store.mu.Unlock()
 	var names []string
 	for _, n := range w.nodes {
-		if n.Have(of).Digest != newest {
+		if n.Status(of).Digest != newest {
 			names = append(names, n.name())
 		}
 	}
@@ -480,7 +480,7 @@
 	play(t, 2, 4, func(w *world) {
 		reader := w.nodes[0]
 		before := reader.follower.PeerStatus()
-		old := reader.Have(carawayspread.ResourceEndpoints)
+		old := reader.Status(carawayspread.ResourceEndpoints)
 		reader.set(func() { reader.mute, reader.deaf, reader.away = true, true, true })
 		time.Sleep(settle)
 		w.store.change(carawayspread.ResourceEndpoints)
@@ -521,7 +521,7 @@
 		for _, n := range w.nodes {
 			forged := carawayspread.PeerStatus{Zone: n.zone}
 			for of := range carawayspread.ResourceCount {
-				forged.Resources[of] = carawayspread.ResourceStatus{Version: 1 << 60, Digest: n.Have(of).Digest}
+				forged.Resources[of] = carawayspread.ResourceStatus{Version: 1 << 60, Digest: n.Status(of).Digest}
 			}
 			n.follower.ObservePeer(77, w.nodes[1].name(), forged)
 		}
--- a/internal/process/follower/freshness.go
+++ b/internal/process/follower/freshness.go
@@ -26,9 +26,9 @@
 	// Age returns the longest time that may have passed since the clock showed the
 	// stamp; false where that cannot be said.
 	Age(stamp time.Duration) (time.Duration, bool)
-	// Slack returns how far the bound has widened since the last good reading; false
+	// DriftAllowance returns how far the bound has widened since the last good reading; false
 	// where there was none.
-	Slack() (time.Duration, bool)
+	DriftAllowance() (time.Duration, bool)
 }
 
 var _ carawayspread.ConfigFreshness = (*Follower)(nil)
@@ -65,7 +65,7 @@
 
 // boundsStore reports whether the store's clock is bounded closely enough.
 func (f *Follower) boundsStore() bool {
-	slack, known := f.store.Slack()
+	slack, known := f.store.DriftAllowance()
 	return known && slack <= driftLimit
 }
 
--- a/internal/process/follower/freshness_test.go
+++ b/internal/process/follower/freshness_test.go
@@ -35,7 +35,7 @@
 	if !known {
 		return 0, false
 	}
-	held := n.Have(carawayspread.ResourceRoutes).Digest
+	held := n.Status(carawayspread.ResourceRoutes).Digest
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for digest, at := range c.at {
@@ -78,7 +78,7 @@
 					time.Sleep(50 * time.Millisecond)
 					for _, n := range w.nodes {
 						if digest, bad := c.missed(n); bad {
-							t.Fatalf("process %s holds %d, its evidence covers %d", n.name(), n.Have(carawayspread.ResourceRoutes).Digest, digest)
+							t.Fatalf("process %s holds %d, its evidence covers %d", n.name(), n.Status(carawayspread.ResourceRoutes).Digest, digest)
 						}
 					}
 				}
@@ -154,7 +154,7 @@
 			time.Sleep(20 * time.Second)
 			calls = append(calls, w.calls(60*time.Second))
 			for _, n := range w.nodes {
-				slack, known := n.clock.Slack()
+				slack, known := n.clock.DriftAllowance()
 				qt.Check(t, len(calls) < 2 || known && slack < driftLimit+driftCheckEvery, qt.IsTrue, qt.Commentf("process %s: %v", n.name(), slack))
 			}
 		})
@@ -170,8 +170,8 @@
 	newer func() // nil once it was called
 }
 
-func (o *overtaken) Have(of carawayspread.Resource) carawayspread.ResourceStatus {
-	held := o.node.Have(of)
+func (o *overtaken) Status(of carawayspread.Resource) carawayspread.ResourceStatus {
+	held := o.node.Status(of)
 	if newer := o.newer; newer != nil {
 		o.newer = nil
 		newer()
