--- a/internal/connection/knowledge/learner.go
+++ b/internal/connection/knowledge/learner.go
@@ -51,15 +51,15 @@
 
 // Holder stores the knowledge of this process.
 type Holder interface {
-	// Have returns the status of a resource.
-	Have(resource carawayspread.Resource) carawayspread.ResourceStatus
-	// Known returns the resources that are newer than these versions.
-	Known(routes, endpoints uint64) carawayspread.Knowledge
+	// Status returns the status of a resource.
+	Status(resource carawayspread.Resource) carawayspread.ResourceStatus
+	// NewerThan returns the resources that are newer than these versions.
+	NewerThan(routes, endpoints uint64) carawayspread.Knowledge
 	// Learn adopts the resources that are newer than the stored ones, and reports whether there were
 	// any.
 	Learn(carawayspread.Knowledge) (bool, error)
-	// Lost reports whether the knowledge has not been confirmed for too long.
-	Lost() bool
+	// Stale reports whether the knowledge has not been confirmed for too long.
+	Stale() bool
 }
 
 // Learner queries peers and answers their queries.
@@ -108,10 +108,10 @@
 // routes.
 func (l *Learner) Newer(_ context.Context, req *NewerRequest) (*NewerResponse, error) {
 	routes := req.Routes
-	if own := l.holder.Have(carawayspread.ResourceRoutes).Version; !req.Changes && own > routes {
+	if own := l.holder.Status(carawayspread.ResourceRoutes).Version; !req.Changes && own > routes {
 		routes = 0 // complete routes
 	}
-	known := l.holder.Known(routes, req.List)
+	known := l.holder.NewerThan(routes, req.List)
 	return &NewerResponse{
 		Routes:  l.toWire(carawayspread.ResourceRoutes, known.Routes, req.Changes),
 		List:    l.toWire(carawayspread.ResourceEndpoints, known.Endpoints, req.Changes),
@@ -127,7 +127,7 @@
 			return ctx.Err()
 		case <-l.clock.After(pollInterval*9/10 + rand.N(pollInterval/5)):
 		}
-		if l.holder.Lost() {
+		if l.holder.Stale() {
 			l.pollPeers(ctx)
 		}
 	}
@@ -209,7 +209,7 @@
 		return false, carawayspread.ErrTooSoon
 	}
 	defer l.pulling[resource].Unlock()
-	return l.learnSince(ctx, peer, resource, l.holder.Have(resource).Version)
+	return l.learnSince(ctx, peer, resource, l.holder.Status(resource).Version)
 }
 
 // learnSince adopts the changes since that version, or the complete resource if they do not apply.
--- a/internal/connection/knowledge/learner_test.go
+++ b/internal/connection/knowledge/learner_test.go
@@ -28,7 +28,7 @@
 	completeOnly bool // changes to the list do not apply
 }
 
-func (h *holder) Known(routes, endpoints uint64) carawayspread.Knowledge {
+func (h *holder) NewerThan(routes, endpoints uint64) carawayspread.Knowledge {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.queries++
@@ -45,7 +45,7 @@
 	return newer
 }
 
-func (h *holder) Have(resource carawayspread.Resource) carawayspread.ResourceStatus {
+func (h *holder) Status(resource carawayspread.Resource) carawayspread.ResourceStatus {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if resource == carawayspread.ResourceEndpoints {
@@ -73,7 +73,7 @@
 	return learnt, nil
 }
 
-func (h *holder) Lost() bool { return h.lost }
+func (h *holder) Stale() bool { return h.lost }
 
 func document(version uint64, body string) carawayspread.Document {
 	return carawayspread.Document{Version: version, Body: []byte(body)}
