--- a/internal/process/attempts/attempts_test.go
+++ b/internal/process/attempts/attempts_test.go
@@ -9,8 +9,8 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// The network delivers an attempt again, as late as a window after the first
-// time. The second delivery must be refused, or the request runs twice.
+// The network delivers an attempt again, up to one window after the first delivery.
+// The second delivery must be refused, as the request would run twice.
 func TestSecondDeliveryIsRefused(t *testing.T) {
 	tests := map[string]time.Duration{"at once": 0, "within the window": time.Second, "a window later": window}
 	for name, after := range tests {
@@ -26,12 +26,12 @@
 	}
 }
 
-// More attempts arrive than can be remembered. New ones are refused rather than
-// old ones forgotten, and taken again when a window has passed.
-func TestFullMemoryRefuses(t *testing.T) {
+// More attempts arrive than fit into a window. New ones are refused, instead of old
+// ones being dropped, and are accepted again after the window has ended.
+func TestFullWindowRefusesNewAttempts(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	a := New(clock)
-	for i := range limit {
+	for i := range maxPerWindow {
 		qt.Assert(t, a.Accept(strconv.Itoa(i)), qt.IsTrue)
 	}
 	qt.Check(t, a.Accept("new"), qt.IsFalse)
--- a/internal/process/dispatcher/demand.go
+++ b/internal/process/dispatcher/demand.go
@@ -7,10 +7,11 @@
 	"carawayspread"
 )
 
-// silentAfter is how old a report may be of an engine whose role may change.
-const silentAfter = time.Minute
+// staleReportAfter is the maximum age of the last report of an engine whose role may
+// change. An engine with an older report counts as leaving.
+const staleReportAfter = time.Minute
 
-// demand counts the work that callers bring, by class.
+// demand counts the tokens of arriving requests, by class.
 type demand struct {
 	mu      sync.Mutex
 	since   time.Time
@@ -33,36 +34,36 @@
 	of.DecodeTokens += float64(job.Cost.Decode)
 }
 
-// Demand returns the work that this entry received since the last call, as
-// tokens a second, times the number of entries: the platform's balancer gives
-// each of them the same part.
-func (l *Dispatcher) Demand(entries int) carawayspread.Demand {
-	now := l.clock.Now()
-	l.demand.mu.Lock()
-	defer l.demand.mu.Unlock()
-	seconds := now.Sub(l.demand.since).Seconds()
+// Demand returns the work that this entry has received since the last call in tokens
+// per second, multiplied by the number of entries, as the platform's load balancer
+// gives each entry an equal share.
+func (d *Dispatcher) Demand(entries int) carawayspread.Demand {
+	now := d.clock.Now()
+	d.demand.mu.Lock()
+	defer d.demand.mu.Unlock()
+	seconds := now.Sub(d.demand.since).Seconds()
 	result := carawayspread.Demand{MeasuredAt: now}
-	if !l.demand.since.IsZero() && seconds > 0 {
-		for _, of := range l.demand.classes {
+	if !d.demand.since.IsZero() && seconds > 0 {
+		for _, of := range d.demand.classes {
 			scaled := *of
 			scaled.PrefillTokens *= float64(entries) / seconds
 			scaled.DecodeTokens *= float64(entries) / seconds
 			result.Classes = append(result.Classes, scaled)
 		}
 	}
-	l.demand.since, l.demand.classes = now, nil
+	d.demand.since, d.demand.classes = now, nil
 	return result
 }
 
-// Engines returns the engines of the service as their last reports show them.
-func (l *Dispatcher) Engines() []carawayspread.RoleState {
-	known := l.fleet.Load()
-	now := l.clock.Now()
-	engines := make([]carawayspread.RoleState, 0, len(known.slots))
-	for id, slot := range known.slots {
+// Engines returns the engines of the service with the state of their last reports.
+func (d *Dispatcher) Engines() []carawayspread.RoleState {
+	known := d.fleet.Load()
+	now := d.clock.Now()
+	engines := make([]carawayspread.RoleState, 0, len(known.states))
+	for id, s := range known.states {
 		state := carawayspread.RoleState{Endpoint: id, Role: carawayspread.RoleBoth, Leaving: true}
-		if seen := slot.lastReport(); !seen.MeasuredAt.IsZero() {
-			state.Leaving = known.endpoints[id].Leaving() || seen.Draining || seen.Crashed || now.Sub(seen.MeasuredAt) > silentAfter
+		if seen := s.lastReport(); !seen.MeasuredAt.IsZero() {
+			state.Leaving = known.endpoints[id].Leaving() || seen.Draining || seen.Crashed || now.Sub(seen.MeasuredAt) > staleReportAfter
 			state.Running = seen.Running
 			state.PrefillRate, state.DecodeRate = seen.PrefillRate, seen.DecodeRate
 			if seen.Role != "" {
--- a/internal/process/dispatcher/dispatcher.go
+++ b/internal/process/dispatcher/dispatcher.go
@@ -1,6 +1,6 @@
-// Package dispatcher carries the requests of one service from admission to a place
-// at an endpoint. It connects the decision modules, which know nothing of
-// waiting goroutines, with the goroutines of the requests.
+// Package dispatcher takes the requests of one service from admission to a slot at
+// an endpoint. It connects the decision modules, which are independent of goroutines,
+// with the goroutines of the waiting requests.
 package dispatcher
 
 import (
@@ -13,144 +13,144 @@
 	"carawayspread/internal/decision/inflight"
 )
 
-// Modules are the decisions of one lane.
+// Modules are the decision modules of one dispatcher.
 type Modules struct {
 	Scheduler carawayspread.Scheduler
 	Router    carawayspread.Router
 	Ejector   carawayspread.Ejector
 	Budget    carawayspread.RetryBudget
-	Limiter   func() carawayspread.Limiter // for each endpoint
+	Limiter   func() carawayspread.Limiter // creates the limiter of one endpoint
 }
 
-// Dispatcher serves one service. It is safe for concurrent use.
+// Dispatcher dispatches the requests of one service. It is safe for concurrent use.
 type Dispatcher struct {
 	modules Modules
 	clock   carawayspread.Clock
-	fleet   atomic.Pointer[fleet] // replaced as a whole
+	fleet   atomic.Pointer[fleet] // copy on write
 	demand  demand
 	window  inflight.Window
-	entries atomic.Int64 // that share the endpoints; zero until it is told
+	entries atomic.Int64 // that share the endpoints; zero until SetEntryCount
 
-	mu      sync.Mutex // serialises the scheduler
-	tickets map[*carawayspread.Job]chan *carawayspread.Error
-	running int           // jobs that Wait let through and that have not finished
-	freed   chan struct{} // closed and replaced whenever a place is returned
+	mu      sync.Mutex // serializes access to the scheduler
+	waiters map[*carawayspread.Job]chan *carawayspread.Error
+	running int           // jobs that Wait has admitted and that have not finished
+	freed   chan struct{} // closed and replaced whenever a slot is released
 }
 
-// fleet is what the lane knows of the endpoints; immutable.
+// fleet holds the endpoints and their state; it is immutable.
 type fleet struct {
 	listed    []carawayspread.Endpoint
 	endpoints map[carawayspread.EndpointID]carawayspread.Endpoint
-	slots     map[carawayspread.EndpointID]*endpointState
+	states    map[carawayspread.EndpointID]*endpointState
 }
 
-// endpointState counts the attempts of this entry at one endpoint.
+// endpointState counts the attempts of this entry at one endpoint and holds its last report.
 type endpointState struct {
 	limiter carawayspread.Limiter
-	taken   atomic.Int64
+	inUse   atomic.Int64
 
-	mu   sync.Mutex                   // serialises what the router is told of the endpoint
+	mu   sync.Mutex                   // serializes the endpoint's reports to the router
 	last carawayspread.EndpointReport // zero before the first report; guarded by mu
 }
 
-func (s *endpointState) full() bool { return s.taken.Load() >= int64(s.limiter.Limit()) }
+func (s *endpointState) full() bool { return s.inUse.Load() >= int64(s.limiter.Limit()) }
 
 func (s *endpointState) acquire() bool {
 	if !s.limiter.Acquire() {
 		return false
 	}
-	s.taken.Add(1)
+	s.inUse.Add(1)
 	return true
 }
 
 func (s *endpointState) release(latency time.Duration, outcome carawayspread.Outcome) {
-	s.taken.Add(-1)
+	s.inUse.Add(-1)
 	s.limiter.Release(latency, outcome)
 }
 
-// New returns a lane without endpoints.
+// New returns a dispatcher without endpoints.
 func New(modules Modules, clock carawayspread.Clock) *Dispatcher {
-	l := &Dispatcher{
+	d := &Dispatcher{
 		modules: modules,
 		clock:   clock,
-		tickets: map[*carawayspread.Job]chan *carawayspread.Error{},
+		waiters: map[*carawayspread.Job]chan *carawayspread.Error{},
 		freed:   make(chan struct{}),
 	}
-	l.fleet.Store(&fleet{})
-	return l
+	d.fleet.Store(&fleet{})
+	return d
 }
 
-// Update replaces the endpoints of the service. Limits learnt for endpoints
-// that stay are kept.
-func (l *Dispatcher) Update(endpoints []carawayspread.Endpoint) {
-	old := l.fleet.Load()
+// Update replaces the endpoints of the service. Endpoints that remain keep their
+// learned limits.
+func (d *Dispatcher) Update(endpoints []carawayspread.Endpoint) {
+	old := d.fleet.Load()
 	next := &fleet{
 		listed:    endpoints,
 		endpoints: make(map[carawayspread.EndpointID]carawayspread.Endpoint, len(endpoints)),
-		slots:     make(map[carawayspread.EndpointID]*endpointState, len(endpoints)),
+		states:    make(map[carawayspread.EndpointID]*endpointState, len(endpoints)),
 	}
 	ids := make([]carawayspread.EndpointID, 0, len(endpoints))
 	for _, endpoint := range endpoints {
 		next.endpoints[endpoint.ID()] = endpoint
-		next.slots[endpoint.ID()] = old.slots[endpoint.ID()]
-		if next.slots[endpoint.ID()] == nil {
-			next.slots[endpoint.ID()] = &endpointState{limiter: l.modules.Limiter()}
+		next.states[endpoint.ID()] = old.states[endpoint.ID()]
+		if next.states[endpoint.ID()] == nil {
+			next.states[endpoint.ID()] = &endpointState{limiter: d.modules.Limiter()}
 		}
 		ids = append(ids, endpoint.ID())
 	}
-	l.fleet.Store(next)
-	l.modules.Router.SetEndpoints(endpoints)
-	l.modules.Ejector.SetEndpoints(ids)
-	l.Tick()
+	d.fleet.Store(next)
+	d.modules.Router.SetEndpoints(endpoints)
+	d.modules.Ejector.SetEndpoints(ids)
+	d.Tick()
 }
 
 // Budget returns the retry budget of the service.
-func (l *Dispatcher) Budget() carawayspread.RetryBudget { return l.modules.Budget }
+func (d *Dispatcher) Budget() carawayspread.RetryBudget { return d.modules.Budget }
 
-// SetEntryCount tells how many entries send to the endpoints.
-func (l *Dispatcher) SetEntryCount(entries int) { l.entries.Store(int64(entries)) }
+// SetEntryCount sets the number of entries that share the endpoints.
+func (d *Dispatcher) SetEntryCount(entries int) { d.entries.Store(int64(entries)) }
 
-// RefreshEndpoints tells the router that the list was read and is unchanged, by which it
-// forgets endpoints that left the list long ago.
-func (l *Dispatcher) RefreshEndpoints() { l.modules.Router.SetEndpoints(l.fleet.Load().listed) }
+// RefreshEndpoints passes the unchanged list to the router again, so that it drops
+// endpoints that left the list long ago.
+func (d *Dispatcher) RefreshEndpoints() { d.modules.Router.SetEndpoints(d.fleet.Load().listed) }
 
-// RecordRefusal tells that an endpoint had no room for an attempt.
-func (l *Dispatcher) RecordRefusal() { l.window.Refused() }
+// RecordRefusal records that an endpoint refused an attempt because it was full.
+func (d *Dispatcher) RecordRefusal() { d.window.Refused() }
 
-// Tick refuses what can no longer be served in time and takes in changed
-// limits. It is to be called many times a second.
-func (l *Dispatcher) Tick() {
-	capacity := l.capacity()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.modules.Scheduler.Capacity(capacity)
-	l.expire()
-	l.pump()
+// Tick applies changed limits and refuses jobs that can no longer be served in time.
+// It must be called many times a second.
+func (d *Dispatcher) Tick() {
+	capacity := d.capacity()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.modules.Scheduler.Capacity(capacity)
+	d.rejectExpired()
+	d.dispatch()
 }
 
-// capacity returns how many requests this entry may have at the endpoints: its
-// window on the slots that reports tell, and no more than the limiters allow.
-// An endpoint that was not heard of yet counts by its limiter.
-func (l *Dispatcher) capacity() int {
+// capacity returns how many requests this entry may have in flight: its window on
+// the reported slots, but at most what the limiters allow. An endpoint without a
+// report counts with its limit.
+func (d *Dispatcher) capacity() int {
 	slots, limits := 0, 0
-	known := l.fleet.Load()
-	for id, slot := range known.slots {
+	known := d.fleet.Load()
+	for id, s := range known.states {
 		if known.endpoints[id].Leaving() {
 			continue
 		}
-		limit := slot.limiter.Limit()
+		limit := s.limiter.Limit()
 		limits += limit
-		slots += slot.lastSlots(limit)
+		slots += s.lastSlots(limit)
 	}
-	l.window.Fleet(slots, max(1, int(l.entries.Load())))
-	return min(l.window.Size(), limits)
+	d.window.Fleet(slots, max(1, int(d.entries.Load())))
+	return min(d.window.Size(), limits)
 }
 
-// Wait returns nil when the job may be sent now; Finish must follow. Otherwise
-// it returns the refusal, which is not run.
-func (l *Dispatcher) Wait(ctx context.Context, job *carawayspread.Job) error {
-	l.demand.add(job)
-	ready, err := l.offer(job)
+// Wait blocks until the job may be sent and returns nil; Finish must follow.
+// Otherwise it returns the refusal, which is marked as not run.
+func (d *Dispatcher) Wait(ctx context.Context, job *carawayspread.Job) error {
+	d.demand.add(job)
+	ready, err := d.offer(job)
 	if err != nil {
 		return err
 	}
@@ -158,82 +158,82 @@
 	case refusal := <-ready:
 		return asError(refusal)
 	case <-ctx.Done():
-		return l.withdraw(ctx, job, ready)
+		return d.withdraw(ctx, job, ready)
 	}
 }
 
-func (l *Dispatcher) offer(job *carawayspread.Job) (chan *carawayspread.Error, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if err := l.modules.Scheduler.Offer(job); err != nil {
+func (d *Dispatcher) offer(job *carawayspread.Job) (chan *carawayspread.Error, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if err := d.modules.Scheduler.Offer(job); err != nil {
 		return nil, err
 	}
 	ready := make(chan *carawayspread.Error, 1)
-	l.tickets[job] = ready
-	l.expire()
-	l.pump()
+	d.waiters[job] = ready
+	d.rejectExpired()
+	d.dispatch()
 	return ready, nil
 }
 
-func (l *Dispatcher) withdraw(ctx context.Context, job *carawayspread.Job, ready chan *carawayspread.Error) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.modules.Scheduler.Cancel(job) {
-		delete(l.tickets, job)
+func (d *Dispatcher) withdraw(ctx context.Context, job *carawayspread.Job, ready chan *carawayspread.Error) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.modules.Scheduler.Cancel(job) {
+		delete(d.waiters, job)
 	} else if refusal := <-ready; refusal == nil {
-		// The job was chosen in the same moment: its place goes back.
-		l.finish(job, carawayspread.JobResult{})
+		// The job was admitted concurrently: return its capacity.
+		d.finish(job, carawayspread.JobResult{})
 	}
 	return carawayspread.NewError(carawayspread.CodeDeadlineExceeded, "the caller has gone or its deadline has passed while the request was queued",
 		carawayspread.NotRun(), carawayspread.CausedBy(context.Cause(ctx)))
 }
 
-// Finish returns the place of a job that Wait let through, with the work that
-// it took.
-func (l *Dispatcher) Finish(job *carawayspread.Job, served carawayspread.JobResult) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.finish(job, served)
+// Finish returns the capacity of a job that Wait admitted, with the work that it
+// took.
+func (d *Dispatcher) Finish(job *carawayspread.Job, served carawayspread.JobResult) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.finish(job, served)
 }
 
-func (l *Dispatcher) finish(job *carawayspread.Job, served carawayspread.JobResult) {
+func (d *Dispatcher) finish(job *carawayspread.Job, served carawayspread.JobResult) {
 	if served.Took > 0 {
-		l.window.Served(l.running)
+		d.window.Served(d.running)
 	}
-	l.running--
-	l.modules.Scheduler.Done(job, served)
-	l.expire()
-	l.pump()
+	d.running--
+	d.modules.Scheduler.Done(job, served)
+	d.rejectExpired()
+	d.dispatch()
 }
 
-// pump lets jobs through while there is capacity. The caller holds mu.
-func (l *Dispatcher) pump() {
+// dispatch admits jobs while there is capacity. The caller holds mu.
+func (d *Dispatcher) dispatch() {
 	for {
-		job := l.modules.Scheduler.Next()
+		job := d.modules.Scheduler.Next()
 		if job == nil {
 			return
 		}
-		l.running++
-		l.tickets[job] <- nil
-		delete(l.tickets, job)
+		d.running++
+		d.waiters[job] <- nil
+		delete(d.waiters, job)
 	}
 }
 
-// expire answers the jobs that the scheduler has given up. The caller holds mu.
-func (l *Dispatcher) expire() {
-	for _, refused := range l.modules.Scheduler.Expired() {
-		if ready, ok := l.tickets[refused.Job]; ok {
+// rejectExpired refuses the jobs that the scheduler has expired. The caller holds mu.
+func (d *Dispatcher) rejectExpired() {
+	for _, refused := range d.modules.Scheduler.Expired() {
+		if ready, ok := d.waiters[refused.Job]; ok {
 			ready <- refused.Err
-			delete(l.tickets, refused.Job)
+			delete(d.waiters, refused.Job)
 		}
 	}
 }
 
-// Queued returns the number of waiting jobs.
-func (l *Dispatcher) Queued() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.modules.Scheduler.Len()
+// Queued returns the number of queued jobs.
+func (d *Dispatcher) Queued() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.modules.Scheduler.Len()
 }
 
 func asError(e *carawayspread.Error) error {
--- a/internal/process/dispatcher/load.go
+++ b/internal/process/dispatcher/load.go
@@ -2,58 +2,58 @@
 
 import "carawayspread"
 
-// Reported passes a load report to the router. The reports of an endpoint must
-// come in order.
-func (l *Dispatcher) Reported(report carawayspread.EndpointReport) {
-	slot, ok := l.fleet.Load().slots[report.Endpoint]
+// Reported passes a load report to the router. The reports of an endpoint must be
+// passed in order.
+func (d *Dispatcher) Reported(report carawayspread.EndpointReport) {
+	s, ok := d.fleet.Load().states[report.Endpoint]
 	if !ok {
-		l.modules.Router.Reported(report)
+		d.modules.Router.Reported(report)
 		return
 	}
-	slot.mu.Lock()
-	defer slot.mu.Unlock()
-	// Failure: a load from an answer was told while this report waited here.
-	// Symptom: the router takes the report for the older one and drops it with
-	// its mark that the endpoint drains. It is dated after that load.
-	if !report.MeasuredAt.After(slot.last.MeasuredAt) {
-		report.MeasuredAt = slot.last.MeasuredAt.Add(1)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	// If the load of an answer was applied while this report waited for the lock, the
+	// router would drop the report as the older one, and with it the mark that the
+	// endpoint drains. The report therefore gets a time after that load.
+	if !report.MeasuredAt.After(s.last.MeasuredAt) {
+		report.MeasuredAt = s.last.MeasuredAt.Add(1)
 	}
-	slot.last = report
-	l.modules.Router.Reported(report)
+	s.last = report
+	d.modules.Router.Reported(report)
 }
 
-// UpdateLoad tells the load that came with an answer. It renews the last report,
-// which says what an answer does not: role, models, rates and drain.
+// UpdateLoad applies the load that arrived with an answer. It updates the last report,
+// which holds what an answer lacks: role, models, rates and drain.
 //
-// A crash is cleared by a report alone, since the answer may have begun before.
-// Without any report nothing is told: a report that names no models would draw
-// the work of every model to the endpoint.
-func (p *Slot) UpdateLoad(running, waiting, slots int) {
-	p.slot.mu.Lock()
-	defer p.slot.mu.Unlock()
-	now := p.lane.clock.Now()
-	if p.slot.last.Endpoint == "" || p.slot.last.Crashed || !now.After(p.slot.last.MeasuredAt) {
+// Only a report clears a crash, since the answer may have begun before it. Without
+// an earlier report nothing is passed on: a report without models would attract the
+// requests of every model to the endpoint.
+func (s *Slot) UpdateLoad(running, waiting, slots int) {
+	s.state.mu.Lock()
+	defer s.state.mu.Unlock()
+	now := s.dispatcher.clock.Now()
+	if s.state.last.Endpoint == "" || s.state.last.Crashed || !now.After(s.state.last.MeasuredAt) {
 		return
 	}
-	next := p.slot.last
+	next := s.state.last
 	next.MeasuredAt, next.Running, next.Waiting, next.Slots = now, running, waiting, slots
-	p.slot.last = next
-	p.lane.modules.Router.Reported(next)
+	s.state.last = next
+	s.dispatcher.modules.Router.Reported(next)
 }
 
-// lastReport returns the last report; its time is zero before the first.
+// lastReport returns the last report; its MeasuredAt is zero before the first.
 func (s *endpointState) lastReport() carawayspread.EndpointReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.last
 }
 
-// lastSlots returns the slots that the last report tells; unknown before it.
-func (s *endpointState) lastSlots(unknown int) int {
+// lastSlots returns the slots of the last report, or fallback before the first.
+func (s *endpointState) lastSlots(fallback int) int {
 	last := s.lastReport()
 	switch {
 	case last.MeasuredAt.IsZero():
-		return unknown
+		return fallback
 	case last.Crashed || last.Draining:
 		return 0
 	default:
--- a/internal/process/dispatcher/load_test.go
+++ b/internal/process/dispatcher/load_test.go
@@ -14,24 +14,24 @@
 	_ "carawayspread/internal/decision/unlimited"
 )
 
-// told keeps what the router would keep: the newest report.
-type told struct {
+// newestReport is a router that keeps the newest report.
+type newestReport struct {
 	carawayspread.Router
 	last carawayspread.EndpointReport
 }
 
-func (r *told) Reported(report carawayspread.EndpointReport) {
+func (r *newestReport) Reported(report carawayspread.EndpointReport) {
 	if report.MeasuredAt.After(r.last.MeasuredAt) {
 		r.last = report
 	}
 }
 
-func (*told) SetEndpoints([]carawayspread.Endpoint) {}
+func (*newestReport) SetEndpoints([]carawayspread.Endpoint) {}
 
-// An entry hears of an endpoint by reports and by the answers of its requests.
-// A report that waits behind the load of an answer is dated before it, and the
-// load of an answer says nothing of roles, drains and crashes. Whatever the
-// order, the router keeps the newest word on each.
+// An entry gets the load of an endpoint from reports and from the answers to its
+// requests. A report that is delayed behind the load of an answer has the earlier
+// time, and the load of an answer contains no role, drain or crash. The router must
+// hold the newest value of each field in every order.
 func TestLoadOfAnswerKeepsTheReport(t *testing.T) {
 	report := carawayspread.EndpointReport{Endpoint: "a", Running: 1, Slots: 16, Role: carawayspread.RoleDecode, Models: []string{"m"}}
 	loaded := report
@@ -39,21 +39,21 @@
 	draining, crashed := report, report
 	draining.Draining, crashed.Crashed = true, true
 	type step func(*Dispatcher, *Slot, time.Time)
-	tell := func(r carawayspread.EndpointReport, late time.Duration) step {
-		return func(l *Dispatcher, _ *Slot, now time.Time) {
+	receive := func(r carawayspread.EndpointReport, late time.Duration) step {
+		return func(d *Dispatcher, _ *Slot, now time.Time) {
 			r.MeasuredAt = now.Add(-late)
-			l.Reported(r)
+			d.Reported(r)
 		}
 	}
-	answer := func(_ *Dispatcher, p *Slot, _ time.Time) { p.UpdateLoad(9, 2, 16) }
+	answer := func(_ *Dispatcher, s *Slot, _ time.Time) { s.UpdateLoad(9, 2, 16) }
 	tests := map[string]struct {
 		steps []step
 		want  carawayspread.EndpointReport
 	}{
-		"load renews the report":         {[]step{tell(report, 0), answer}, loaded},
+		"load renews the report":         {[]step{receive(report, 0), answer}, loaded},
 		"load before any report":         {[]step{answer}, carawayspread.EndpointReport{}},
-		"crash is not cleared by a load": {[]step{tell(crashed, 0), answer}, crashed},
-		"drain waited behind a load":     {[]step{tell(report, 0), answer, tell(draining, 2*time.Second)}, draining},
+		"crash is not cleared by a load": {[]step{receive(crashed, 0), answer}, crashed},
+		"drain delayed behind a load":    {[]step{receive(report, 0), answer, receive(draining, 2*time.Second)}, draining},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -62,16 +62,16 @@
 			scheduler, _ := carawayspread.Schedulers.Get("fifo")
 			ejector, _ := carawayspread.Ejectors.Get("never")
 			limiter, _ := carawayspread.Limiters.Get("unlimited")
-			router := &told{}
-			l := New(Modules{
+			router := &newestReport{}
+			d := New(Modules{
 				Scheduler: scheduler(env), Router: router, Ejector: ejector(env),
 				Limiter: func() carawayspread.Limiter { return limiter(env) },
 			}, clock)
-			l.Update([]carawayspread.Endpoint{carawayspread.NewEndpoint("a", "s", "z", "127.0.0.1:1", false)})
-			place := &Slot{lane: l, slot: l.fleet.Load().slots["a"]}
-			for _, s := range test.steps {
+			d.Update([]carawayspread.Endpoint{carawayspread.NewEndpoint("a", "s", "z", "127.0.0.1:1", false)})
+			slot := &Slot{dispatcher: d, state: d.fleet.Load().states["a"]}
+			for _, apply := range test.steps {
 				clock.Advance(time.Second)
-				s(l, place, clock.Now())
+				apply(d, slot, clock.Now())
 			}
 			router.last.MeasuredAt = time.Time{}
 			qt.Check(t, router.last, qt.DeepEquals, test.want)
--- a/internal/process/dispatcher/slot.go
+++ b/internal/process/dispatcher/slot.go
@@ -8,81 +8,81 @@
 )
 
 const (
-	// placeRetry is the longest time between two looks for a place; a place
-	// that another request returns is seen at once.
-	placeRetry = 20 * time.Millisecond
-	// noEndpointRetry is when a caller may come back who met no endpoint: the
-	// time in which the instance list and the reports are renewed.
+	// acquirePollInterval is the longest time between two tries to acquire a slot; a
+	// slot that another request releases is noticed at once.
+	acquirePollInterval = 20 * time.Millisecond
+	// noEndpointRetry is the Retry-After if no endpoint is available. Within that time
+	// the instance list and the reports are refreshed.
 	noEndpointRetry = 2 * time.Second
-	// pickAttempts bounds how often a place is lost to another request between
-	// the pick and its taking.
-	pickAttempts = 4
+	// maxPickAttempts limits how often a slot may be lost to another request between Pick
+	// and acquire.
+	maxPickAttempts = 4
 )
 
-// Slot is a place at an endpoint; Leave must be called once.
+// Slot is one concurrency slot at an endpoint. Release must be called once.
 type Slot struct {
-	lane     *Dispatcher
-	slot     *endpointState
-	job      *carawayspread.Job
-	endpoint carawayspread.Endpoint
-	taken    time.Time
-	// displaced says that the job may meet an endpoint that knows nothing of
-	// its earlier attempts.
-	displaced bool
+	dispatcher *Dispatcher
+	state      *endpointState
+	job        *carawayspread.Job
+	endpoint   carawayspread.Endpoint
+	acquiredAt time.Time
+	// outsideAffinity marks that the endpoint may have no record of the job's earlier
+	// attempts.
+	outsideAffinity bool
 }
 
-// Endpoint returns where the place is.
-func (p *Slot) Endpoint() carawayspread.Endpoint { return p.endpoint }
+// Endpoint returns the endpoint of the slot.
+func (s *Slot) Endpoint() carawayspread.Endpoint { return s.endpoint }
 
 // OutsideAffinity reports whether none of the job's own endpoints is available.
-func (p *Slot) OutsideAffinity() bool { return p.displaced }
+func (s *Slot) OutsideAffinity() bool { return s.outsideAffinity }
 
-// AcquiredAt returns when the place was taken.
-func (p *Slot) AcquiredAt() time.Time { return p.taken }
+// AcquiredAt returns when the slot was acquired.
+func (s *Slot) AcquiredAt() time.Time { return s.acquiredAt }
 
-// Release returns the place with the latency that was measured: the mean gap
-// between tokens of an engine's answer, the whole time of a plain service's,
-// zero for none.
-func (p *Slot) Release(latency time.Duration, outcome carawayspread.Outcome) {
-	id := p.endpoint.ID()
-	p.slot.release(latency, outcome)
-	p.lane.modules.Router.Ended(id, p.job, outcome)
-	p.lane.modules.Ejector.Observe(id, latency, outcome)
+// Release releases the slot with the measured latency: the mean inter-token latency of
+// an engine's answer, or the total time of a plain service's. Zero means no
+// measurement.
+func (s *Slot) Release(latency time.Duration, outcome carawayspread.Outcome) {
+	id := s.endpoint.ID()
+	s.state.release(latency, outcome)
+	s.dispatcher.modules.Router.Ended(id, s.job, outcome)
+	s.dispatcher.modules.Ejector.Observe(id, latency, outcome)
 	if outcome == carawayspread.OutcomeServed {
-		p.lane.modules.Budget.Succeeded()
+		s.dispatcher.modules.Budget.Succeeded()
 	}
-	p.lane.free()
+	s.dispatcher.notifyFreed()
 }
 
-func (l *Dispatcher) free() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	close(l.freed)
-	l.freed = make(chan struct{})
+func (d *Dispatcher) notifyFreed() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	close(d.freed)
+	d.freed = make(chan struct{})
 }
 
-func (l *Dispatcher) freedSignal() <-chan struct{} {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.freed
+func (d *Dispatcher) freedSignal() <-chan struct{} {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.freed
 }
 
-// Acquire finds a place at an endpoint that tried does not name, waiting until
-// latest while its endpoints are only busy. Its error is not run.
-func (l *Dispatcher) Acquire(ctx context.Context, job *carawayspread.Job, tried map[carawayspread.EndpointID]bool, latest time.Time) (*Slot, error) {
+// Acquire acquires a slot at an endpoint that is not in tried. While endpoints are only
+// busy, it waits until deadline. Its error is marked as not run.
+func (d *Dispatcher) Acquire(ctx context.Context, job *carawayspread.Job, tried map[carawayspread.EndpointID]bool, deadline time.Time) (*Slot, error) {
 	for {
-		freed := l.freedSignal()
-		place, wait := l.tryPlace(job, tried)
-		if place != nil {
-			return place, nil
+		freed := d.freedSignal()
+		slot, wait := d.tryAcquire(job, tried)
+		if slot != nil {
+			return slot, nil
 		}
-		if !wait || !l.clock.Now().Before(latest) {
+		if !wait || !d.clock.Now().Before(deadline) {
 			return nil, carawayspread.NewError(carawayspread.CodeNoEndpoint, "no endpoint can take the request now",
 				carawayspread.NotRun(), carawayspread.RetryAfter(noEndpointRetry))
 		}
 		select {
 		case <-freed:
-		case <-l.clock.After(placeRetry):
+		case <-d.clock.After(acquirePollInterval):
 		case <-ctx.Done():
 			return nil, carawayspread.NewError(carawayspread.CodeDeadlineExceeded, "the caller has gone or its deadline has passed",
 				carawayspread.NotRun(), carawayspread.CausedBy(context.Cause(ctx)))
@@ -90,37 +90,37 @@
 	}
 }
 
-// tryPlace asks the router for an endpoint and takes a place there. The second
-// result says that a place may come free.
-func (l *Dispatcher) tryPlace(job *carawayspread.Job, tried map[carawayspread.EndpointID]bool) (*Slot, bool) {
-	known := l.fleet.Load()
-	for range pickAttempts {
-		choice := l.modules.Router.Pick(job, func(id carawayspread.EndpointID) carawayspread.Availability {
-			return l.standing(known, tried, id)
+// tryAcquire lets the router pick an endpoint and acquires a slot there. The second result
+// reports whether a slot may become free.
+func (d *Dispatcher) tryAcquire(job *carawayspread.Job, tried map[carawayspread.EndpointID]bool) (*Slot, bool) {
+	known := d.fleet.Load()
+	for range maxPickAttempts {
+		choice := d.modules.Router.Pick(job, func(id carawayspread.EndpointID) carawayspread.Availability {
+			return d.availability(known, tried, id)
 		})
-		slot, ok := known.slots[choice.Endpoint]
+		s, ok := known.states[choice.Endpoint]
 		if !ok {
 			return nil, choice.Wait
 		}
-		if !slot.acquire() {
-			continue // another request took the place in between
+		if !s.acquire() {
+			continue // another request acquired the slot in between
 		}
-		l.modules.Router.Sent(choice.Endpoint, job)
-		l.modules.Ejector.Sent(choice.Endpoint)
+		d.modules.Router.Sent(choice.Endpoint, job)
+		d.modules.Ejector.Sent(choice.Endpoint)
 		return &Slot{
-			lane: l, slot: slot, job: job, endpoint: known.endpoints[choice.Endpoint],
-			displaced: choice.OutsideAffinity, taken: l.clock.Now(),
+			dispatcher: d, state: s, job: job, endpoint: known.endpoints[choice.Endpoint],
+			outsideAffinity: choice.OutsideAffinity, acquiredAt: d.clock.Now(),
 		}, false
 	}
 	return nil, true
 }
 
-func (l *Dispatcher) standing(known *fleet, tried map[carawayspread.EndpointID]bool, id carawayspread.EndpointID) carawayspread.Availability {
-	slot, ok := known.slots[id]
+func (d *Dispatcher) availability(known *fleet, tried map[carawayspread.EndpointID]bool, id carawayspread.EndpointID) carawayspread.Availability {
+	s, ok := known.states[id]
 	switch {
-	case !ok || tried[id] || !l.modules.Ejector.Allowed(id):
+	case !ok || tried[id] || !d.modules.Ejector.Allowed(id):
 		return carawayspread.AvailabilityExcluded
-	case slot.full():
+	case s.full():
 		return carawayspread.AvailabilityBusy
 	default:
 		return carawayspread.AvailabilityFree
--- a/internal/process/loads/loads.go
+++ b/internal/process/loads/loads.go
@@ -1,32 +1,33 @@
-// Package loads completes the load reports that an entry receives: it keeps the
-// last full report of each sidecar and adds its endpoints to those that follow.
+// Package loads completes the load reports that an entry receives. It stores the last
+// full report of each sidecar and adds its endpoints to the partial reports that
+// follow.
 package loads
 
 import "carawayspread/internal/connection/control"
 
-// knownInstances bounds the full reports that are kept.
-const knownInstances = 10_000
+// maxInstances limits the number of stored full reports.
+const maxInstances = 10_000
 
-// Completer holds the last full report of each sidecar. It is used by one goroutine.
+// Completer holds the last full report of each sidecar. It is not safe for concurrent use.
 type Completer struct {
-	full map[string]*control.LoadReport // by instance; well formed
+	full map[string]*control.LoadReport // by instance; well-formed
 }
 
-// New returns Loads that hold no report.
+// New returns a Completer without reports.
 func New() *Completer { return &Completer{full: map[string]*control.LoadReport{}} }
 
-// Complete adds the endpoints to a report, which must arrive in order; false
-// when it cannot be used.
+// Complete adds the endpoints to a report. Reports must be passed in order. It returns
+// false if the report cannot be used.
 //
-// Failure: a full report is lost, and with it a changed list of endpoints.
-// Symptom: the loads that follow are taken for those of other endpoints. They
-// name the full report that they follow, and are dropped until the next full
+// A lost full report may have contained a changed list of endpoints, and the loads
+// that follow would be assigned to the wrong endpoints. Partial reports therefore
+// refer to the full report that they follow, and are dropped until the next full
 // one, a few reports later.
-func (l *Completer) Complete(r *control.LoadReport) bool {
+func (c *Completer) Complete(r *control.LoadReport) bool {
 	if r.GetSinceFull() == 0 {
-		return l.keep(r)
+		return c.store(r)
 	}
-	full, ok := l.full[r.GetInstance()]
+	full, ok := c.full[r.GetInstance()]
 	if !ok || full.GetSequence()+uint64(r.GetSinceFull()) != r.GetSequence() {
 		return false
 	}
@@ -34,14 +35,14 @@
 	return wellFormed(r)
 }
 
-func (l *Completer) keep(r *control.LoadReport) bool {
+func (c *Completer) store(r *control.LoadReport) bool {
 	if !wellFormed(r) {
 		return false
 	}
-	if len(l.full) >= knownInstances {
-		clear(l.full)
+	if len(c.full) >= maxInstances {
+		clear(c.full)
 	}
-	l.full[r.GetInstance()] = r
+	c.full[r.GetInstance()] = r
 	return true
 }
 
--- a/internal/request/call/header.go
+++ b/internal/request/call/header.go
@@ -8,10 +8,10 @@
 	"carawayspread/internal/connection/hopbyhop"
 )
 
-// OutgoingHeader returns the header that goes on to the endpoint.
+// OutgoingHeader returns the header that is sent to the endpoint.
 //
-// The idempotency key is not passed on: net/http repeats requests that carry
-// it on its own, which would run them twice.
+// It does not contain the idempotency key, since net/http retries requests with such
+// a header by itself and they would run twice.
 func (c *Call) OutgoingHeader() http.Header {
 	header := c.header.Clone()
 	hopbyhop.Strip(header)
