--- a/internal/daemon/entryd/daemon.go
+++ b/internal/daemon/entryd/daemon.go
@@ -39,8 +39,8 @@
 	changed chan struct{} // holds one word that the configuration changed
 	known   atomic.Pointer[directory]
 	loads   *loads.Completer // used by reported alone
-	routed  atomic.Int64 // endpoints that the entry was given
-	mu      sync.Mutex   // serialises updates of the entry's endpoints
+	routed  atomic.Int64     // endpoints that the entry was given
+	mu      sync.Mutex       // serialises updates of the entry's endpoints
 }
 
 // directory resolves the endpoints that reports name by their hash; immutable.
@@ -125,7 +125,7 @@
 
 // leaveAfter returns when ctx has ended and every request has its answer.
 //
-// The lanes and the watch must live until then: a queued request that nobody
+// The dispatchers and the watch must live until then: a queued request that nobody
 // sends would hold up the shutdown for ever.
 func (d *Daemon) leaveAfter(ctx, work context.Context) error {
 	select {
--- a/internal/process/sidecar/crash.go
+++ b/internal/process/sidecar/crash.go
@@ -10,12 +10,12 @@
 	"carawayspread/internal/decision/quarantine"
 )
 
-// tellTimeout bounds how long the fleet is told of a crash.
-const tellTimeout = 5 * time.Second
+// crashReportTimeout limits the recording of a crash for the fleet.
+const crashReportTimeout = 5 * time.Second
 
-// judge refuses a request that may crash the endpoint: one that is convicted,
-// or a suspect that was not sent as a trial.
-func (s *Sidecar) judge(r *http.Request, id carawayspread.EndpointID) *carawayspread.Error {
+// checkQuarantine refuses a request that may crash the endpoint: one in quarantine, or
+// a suspected one that was not sent as a trial.
+func (s *Sidecar) checkQuarantine(r *http.Request, id carawayspread.EndpointID) *carawayspread.Error {
 	fingerprint := fingerprintOf(r)
 	if fingerprint == 0 {
 		return nil
@@ -35,26 +35,26 @@
 
 func isTrial(r *http.Request) bool { return r.Header.Get(sidecarhttp.HeaderTrial) != "" }
 
-// crashed reports whether that life of the endpoint has ended, and has the
-// requests on it noted as suspects, here and for the whole fleet.
-func (s *Sidecar) crashed(worker *worker, life string) bool {
-	if worker.probe(context.Background(), s.once, s.clock.Now(), life) {
+// crashed reports whether the endpoint no longer runs with that boot ID. If so, it
+// records the requests that were running there as suspects, here and for the fleet.
+func (s *Sidecar) crashed(worker *worker, boot string) bool {
+	if worker.probe(context.Background(), s.once, s.clock.Now(), boot) {
 		return false
 	}
-	running, trial := worker.suspects(life)
+	running, trial := worker.takeSuspects(boot)
 	if len(running) == 0 {
 		return true
 	}
 	s.suspects.Crashed(quarantine.Crash{Endpoint: worker.spec.ID, At: s.clock.Now()}, running, trial)
 	s.log.WithField("endpoint", worker.spec.ID).WithField("suspects", len(running)).Warn("endpoint crashed")
-	go s.tell(worker.spec.ID, running)
+	go s.reportCrash(worker.spec.ID, running)
 	return true
 }
 
-func (s *Sidecar) tell(id carawayspread.EndpointID, running []uint64) {
-	ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+func (s *Sidecar) reportCrash(id carawayspread.EndpointID, running []uint64) {
+	ctx, cancel := context.WithTimeout(context.Background(), crashReportTimeout)
 	defer cancel()
-	if err := s.victims.Crashed(ctx, id, running...); err != nil {
-		s.log.WithField("endpoint", id).WithError(err).Warn("crash not recorded")
+	if err := s.crashes.Crashed(ctx, id, running...); err != nil {
+		s.log.WithField("endpoint", id).WithError(err).Warn("cannot record the crash")
 	}
 }
--- a/internal/process/sidecar/duplicate_test.go
+++ b/internal/process/sidecar/duplicate_test.go
@@ -13,9 +13,9 @@
 	"carawayspread/internal/process/attempts"
 )
 
-// An attempt is refused as not run, which its entry tells the caller, and the
-// network delivers it a second time when nothing stands in its way any more.
-// The endpoint must not see it, and the second refusal claims nothing.
+// An attempt is refused as not run, and its caller is told so. The network then
+// delivers it a second time, when the reason for the refusal no longer holds. The
+// endpoint must not receive it, and the second refusal must not say "not run".
 func TestRefusedAttemptDoesNotRunLater(t *testing.T) {
 	hits := 0
 	endpoint := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { hits++ }))
--- a/internal/process/sidecar/load.go
+++ b/internal/process/sidecar/load.go
@@ -9,15 +9,15 @@
 	"carawayspread/internal/connection/sidecarhttp"
 )
 
-// probeEvery is the time between two readings of an endpoint's state.
-const probeEvery = time.Second
+// probeInterval is the interval between two probes of an endpoint.
+const probeInterval = time.Second
 
-// Run reads the state of the endpoints until ctx ends.
+// Run probes the endpoints until ctx ends.
 func (s *Sidecar) Run(ctx context.Context) error {
 	for {
 		s.probeAll(ctx)
 		select {
-		case <-s.clock.After(probeEvery):
+		case <-s.clock.After(probeInterval):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -29,11 +29,11 @@
 		if ctx.Err() != nil {
 			return
 		}
-		w.probe(ctx, s.client, s.clock.Now(), w.life())
+		w.probe(ctx, s.client, s.clock.Now(), w.bootID())
 	}
 }
 
-// Load returns what is known of the endpoints, ordered by name.
+// Load returns the load of all endpoints, sorted by name.
 func (s *Sidecar) Load() []*control.EndpointLoad {
 	loads := make([]*control.EndpointLoad, 0, len(s.workers))
 	for _, w := range s.workers {
@@ -63,7 +63,7 @@
 	return load
 }
 
-// onAnswer returns the load that travels with an answer.
-func (w *worker) onAnswer() sidecarhttp.Load {
+// answerLoad returns the load that is sent with an answer.
+func (w *worker) answerLoad() sidecarhttp.Load {
 	return sidecarhttp.Load{Running: int(max(0, w.running.Load())), Waiting: int(max(0, w.waiting.Load())), Slots: w.spec.Slots}
 }
--- a/internal/process/sidecar/run.go
+++ b/internal/process/sidecar/run.go
@@ -24,7 +24,7 @@
 const (
 	copyBuffer   = 32 << 10
 	tailLength   = 32            // enough for the last event of a stream
-	longestQueue = 2 * time.Hour // waits no longer where the sender states no time
+	maxQueueWait = 2 * time.Hour // without a remaining time in the request
 )
 
 var buffers = sync.Pool{New: func() any { b := make([]byte, copyBuffer); return &b }}
@@ -36,7 +36,7 @@
 		s.refuse(w, r, carawayspread.NewError(carawayspread.CodeNotFound, "no such path", carawayspread.NotRun()))
 		return
 	}
-	s.hear(r)
+	s.observeVersion(r)
 	worker, known := s.workers[id]
 	if !known {
 		s.refuse(w, r, carawayspread.NewError(carawayspread.CodeNoEndpoint, "the endpoint is not beside this sidecar", carawayspread.NotRun()))
@@ -46,7 +46,7 @@
 		s.refuse(w, r, refusal)
 		return
 	}
-	defer worker.leave()
+	defer worker.releaseSlot()
 	s.run(w, r, worker, path)
 }
 
@@ -65,49 +65,49 @@
 	return carawayspread.EndpointID(id), "/" + path, true
 }
 
-func (s *Sidecar) hear(r *http.Request) {
+func (s *Sidecar) observeVersion(r *http.Request) {
 	if version, err := strconv.ParseUint(r.Header.Get(sidecarhttp.HeaderConfig), 10, 64); err == nil {
-		s.heard(carawayspread.Version(version))
+		s.versionObserver(carawayspread.Version(version))
 	}
 }
 
-// admit checks everything that can still be refused as not run, and takes a
+// admit makes all checks that can still refuse the attempt as not run, and acquires a
 // slot of the endpoint.
 func (s *Sidecar) admit(r *http.Request, w *worker) *carawayspread.Error {
-	// First of all checks: a second delivery of an attempt that was refused must
-	// not run after its caller was told that it has not. The first delivery may
-	// also be running, so that nothing is claimed here.
+	// This check comes first: a second delivery of a refused attempt must not run after
+	// the caller was told that it has not run. As the first delivery may be running,
+	// the refusal does not say "not run".
 	if !s.attempts.Accept(r.Header.Get(sidecarhttp.HeaderAttempt)) {
 		return carawayspread.NewError(carawayspread.CodeDuplicateAttempt, "the attempt has arrived before")
 	}
 	if w.isClosed() {
 		return carawayspread.NewError(carawayspread.CodeDraining, "the endpoint is leaving", carawayspread.NotRun())
 	}
-	if paused := w.paused(s.clock.Now()); paused > 0 {
+	if suspended := w.suspension(s.clock.Now()); suspended > 0 {
 		return carawayspread.NewError(carawayspread.CodeOverloaded, "the endpoint asked for a pause",
-			carawayspread.NotRun(), carawayspread.RetryAfter(paused))
+			carawayspread.NotRun(), carawayspread.RetryAfter(suspended))
 	}
-	if refusal := s.judge(r, w.spec.ID); refusal != nil {
+	if refusal := s.checkQuarantine(r, w.spec.ID); refusal != nil {
 		return refusal
 	}
 	left, stated := sidecarhttp.Remaining(r.Header)
 	if !stated {
-		left = longestQueue
+		left = maxQueueWait
 	}
 	if left <= 0 {
 		return carawayspread.NewError(carawayspread.CodeDeadlineExceeded, "no time is left", carawayspread.NotRun())
 	}
-	return w.enter(r.Context(), s.clock, left)
+	return w.acquireSlot(r.Context(), s.clock, left)
 }
 
-// run passes the request on. From here on only an endpoint that was never
-// connected proves that the request has not run.
+// run forwards the request. From here on, only a failure to connect to the endpoint
+// proves that the request has not run.
 func (s *Sidecar) run(w http.ResponseWriter, r *http.Request, worker *worker, path string) {
 	_ = http.NewResponseController(w).EnableFullDuplex()
 	fingerprint := fingerprintOf(r)
-	life := worker.life()
-	worker.began(fingerprint, isTrial(r))
-	defer worker.ended(fingerprint)
+	boot := worker.bootID()
+	worker.recordStart(fingerprint, isTrial(r))
+	defer worker.recordEnd(fingerprint)
 	var connected atomic.Bool
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
@@ -118,26 +118,26 @@
 		s.refuse(w, r, carawayspread.NewError(carawayspread.CodeMalformed, "the path cannot be sent on", carawayspread.NotRun()))
 		return
 	}
-	resp, err := s.await(w, s.transport(r), req)
+	resp, err := s.roundTrip(w, s.transport(r), req)
 	if err != nil {
-		s.failed(w, r, worker, life, connected.Load(), err)
+		s.handleFailure(w, r, worker, boot, connected.Load(), err)
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
-	worker.pause(s.clock.Now(), resp)
-	end := s.answer(w, r, worker, resp)
-	if end == sidecarhttp.EndCut && r.Context().Err() == nil && s.crashed(worker, life) {
+	worker.suspend(s.clock.Now(), resp)
+	end := s.copyAnswer(w, r, worker, resp)
+	if end == sidecarhttp.EndCut && r.Context().Err() == nil && s.crashed(worker, boot) {
 		end = sidecarhttp.EndCrashed
 	}
 	if end == sidecarhttp.EndWhole {
 		s.suspects.Served(fingerprint)
 	}
-	s.finish(w, end)
+	s.setEndTrailer(w, end)
 }
 
 func (s *Sidecar) transport(r *http.Request) http.RoundTripper {
 	if r.Close {
-		return s.once // the entry closes the connections of work that runs at most once
+		return s.once // the entry closes the connections of at-most-once requests
 	}
 	return s.client
 }
@@ -159,11 +159,11 @@
 
 // outgoingBody returns the body of r for the endpoint.
 //
-// Failure: a transport that has sent the announced bytes reads once more, to
-// see the body's end; once the answer has begun, that read of a served request
-// fails. Symptom: the transport closes the connection under the answer, which
-// ends early. The reader here ends by itself after the announced bytes, so that
-// nothing is read once more, and the server leaves the body alone (see run).
+// After sending Content-Length bytes, a transport reads once more to see the end of
+// the body. At a server that read fails once the answer has begun; the transport then
+// closes the connection, and the answer is cut. The reader returned here ends after
+// Content-Length bytes without reading the body again, and the server does not read
+// it either (see run).
 func outgoingBody(r *http.Request) io.Reader {
 	switch {
 	case r.ContentLength == 0:
@@ -175,38 +175,38 @@
 	}
 }
 
-type roundTrip struct {
+type result struct {
 	resp *http.Response
 	err  error
 }
 
-// await sends the request and keeps the entry informed with interim responses
-// until the endpoint answers.
-func (s *Sidecar) await(w http.ResponseWriter, transport http.RoundTripper, req *http.Request) (*http.Response, error) {
-	done := make(chan roundTrip, 1)
+// roundTrip sends the request. Until the endpoint answers, it sends interim responses
+// to the entry as heartbeats.
+func (s *Sidecar) roundTrip(w http.ResponseWriter, transport http.RoundTripper, req *http.Request) (*http.Response, error) {
+	done := make(chan result, 1)
 	go func() {
 		resp, err := transport.RoundTrip(req)
-		done <- roundTrip{resp: resp, err: err}
+		done <- result{resp: resp, err: err}
 	}()
 	for {
 		select {
-		case result := <-done:
-			return result.resp, result.err
+		case r := <-done:
+			return r.resp, r.err
 		case <-s.clock.After(sidecarhttp.Heartbeat):
 			w.WriteHeader(http.StatusProcessing)
 		}
 	}
 }
 
-// answer copies the endpoint's answer and says how it ended.
-func (s *Sidecar) answer(w http.ResponseWriter, r *http.Request, worker *worker, resp *http.Response) string {
+// copyAnswer copies the endpoint's answer and returns how it ended.
+func (s *Sidecar) copyAnswer(w http.ResponseWriter, r *http.Request, worker *worker, resp *http.Response) string {
 	header := w.Header()
 	for name, values := range resp.Header {
 		header[name] = values
 	}
 	header.Del("Content-Length")
 	header.Set(sidecarhttp.HeaderAttempt, r.Header.Get(sidecarhttp.HeaderAttempt))
-	worker.onAnswer().Write(header)
+	worker.answerLoad().Write(header)
 	if resp.ContentLength >= 0 {
 		header.Set(sidecarhttp.HeaderLength, strconv.FormatInt(resp.ContentLength, 10))
 	}
@@ -230,9 +230,9 @@
 	return r.Method == http.MethodHead || resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified
 }
 
-// ending judges whether an answer is whole. HTTP tells a cut where a length or
-// chunks frame the body; a stream of events must also show its last event,
-// since an engine that gives up may close its stream properly.
+// ending decides whether an answer is complete. HTTP detects a cut if the body is
+// framed by a length or by chunks. A stream of events must also contain its last
+// event, since an engine that aborts may close its stream properly.
 func ending(resp *http.Response, tail []byte, err error) string {
 	framed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 	if err != nil || !framed {
@@ -244,8 +244,8 @@
 	return sidecarhttp.EndWhole
 }
 
-// copyFlushing copies src and flushes after every read, so that each token
-// leaves at once. It returns the last bytes.
+// copyFlushing copies src and flushes after every read, so that each token is sent
+// immediately. It returns the last bytes.
 func copyFlushing(w http.ResponseWriter, src io.Reader, sum sidecarhttp.Sum) ([]byte, error) {
 	buffer := buffers.Get().(*[]byte)
 	defer buffers.Put(buffer)
@@ -280,17 +280,17 @@
 	return tail
 }
 
-// finish sends the trailer. The trailer of an answer that failed is corrected
-// here, since a crash is only known after the body ended.
-func (s *Sidecar) finish(w http.ResponseWriter, end string) {
+// setEndTrailer corrects the trailer of a failed answer, since a crash is only known
+// after the body has ended.
+func (s *Sidecar) setEndTrailer(w http.ResponseWriter, end string) {
 	name := http.TrailerPrefix + sidecarhttp.TrailerEnd
 	if w.Header().Get(name) != "" {
 		w.Header().Set(name, end)
 	}
 }
 
-// failed answers a request that got no answer from its endpoint.
-func (s *Sidecar) failed(w http.ResponseWriter, r *http.Request, worker *worker, life string, connected bool, err error) {
+// handleFailure refuses a request to which the endpoint has sent no answer.
+func (s *Sidecar) handleFailure(w http.ResponseWriter, r *http.Request, worker *worker, boot string, connected bool, err error) {
 	if !connected {
 		worker.setDown(true, err)
 		s.refuse(w, r, carawayspread.NewError(carawayspread.CodeNoEndpoint, "the endpoint cannot be reached",
@@ -298,7 +298,7 @@
 		return
 	}
 	failure := carawayspread.NewError(carawayspread.CodeEndpointFailed, "the endpoint failed while it ran the request", carawayspread.CausedBy(err))
-	if r.Context().Err() == nil && s.crashed(worker, life) {
+	if r.Context().Err() == nil && s.crashed(worker, boot) {
 		w.Header().Set(sidecarhttp.HeaderCrashed, "true")
 	}
 	s.refuse(w, r, failure)
@@ -313,7 +313,7 @@
 	})
 }
 
-// refuse sends an error of the sidecar's own.
+// refuse sends an error of the sidecar itself.
 func (s *Sidecar) refuse(w http.ResponseWriter, r *http.Request, e *carawayspread.Error) {
 	s.event(r).WithField("code", e.Code()).WithField("notRun", e.NotRun()).Info("request refused")
 	header := w.Header()
--- a/internal/process/sidecar/sidecar.go
+++ b/internal/process/sidecar/sidecar.go
@@ -1,6 +1,6 @@
-// Package sidecar is the process beside the endpoints of one instance, and the
-// only way to them: it admits requests, passes them on, says whether an answer
-// is whole, notices crashes, and drains.
+// Package sidecar implements the process that runs beside the endpoints of one
+// instance and is the only way to them. It admits and forwards requests, reports
+// whether answers are complete, detects crashes, and drains endpoints.
 package sidecar
 
 import (
@@ -21,10 +21,10 @@
 const (
 	endpointDialTimeout = 500 * time.Millisecond
 	probeTimeout        = 300 * time.Millisecond
-	idlePerEndpoint     = 64
+	maxIdlePerEndpoint  = 64
 	defaultSlots        = 16
-	// refusalRetry is when a caller may come back whose request found the
-	// endpoint full: about the time in which one short answer ends.
+	// refusalRetry is the Retry-After of a request that found the endpoint full, about
+	// the duration of a short answer.
 	refusalRetry = time.Second
 )
 
@@ -34,34 +34,35 @@
 	Service string
 	Kind    carawayspread.Kind
 	Address string // IP number and port
-	Slots   int    // requests that the endpoint runs at once; zero for the default
+	Slots   int    // maximum concurrent requests; zero for the default
 }
 
-// CrashRecorder tells the whole fleet which requests were running when an endpoint
-// crashed.
+// CrashRecorder records for the whole fleet which requests were running when an
+// endpoint crashed.
 type CrashRecorder interface {
 	Crashed(ctx context.Context, endpoint carawayspread.EndpointID, running ...uint64) error
 }
 
 // Deduplicator remembers which attempts were accepted.
 type Deduplicator interface {
-	// Accept records the attempt; false when it was accepted before.
+	// Accept records the attempt. It returns false if the attempt must be refused, for
+	// example because it was accepted before.
 	Accept(id string) bool
 }
 
 // Sidecar serves the requests that entries send to its endpoints. It is an
 // http.Handler and safe for concurrent use.
 type Sidecar struct {
-	workers  map[carawayspread.EndpointID]*worker // fixed after New
-	client   *http.Transport
-	once     *http.Transport
-	clock    carawayspread.Clock
-	log      log.Interface
-	suspects *quarantine.Quarantine
-	victims  CrashRecorder
-	attempts Deduplicator
-	heard    func(carawayspread.Version) // takes versions named by requests
-	draining atomic.Bool
+	workers         map[carawayspread.EndpointID]*worker // fixed after New
+	client          *http.Transport
+	once            *http.Transport
+	clock           carawayspread.Clock
+	log             log.Interface
+	suspects        *quarantine.Quarantine
+	crashes         CrashRecorder
+	attempts        Deduplicator
+	versionObserver func(carawayspread.Version) // receives the configuration versions of requests
+	draining        atomic.Bool
 }
 
 // Option sets a part of a Sidecar.
@@ -70,40 +71,41 @@
 // WithClock sets the clock.
 func WithClock(clock carawayspread.Clock) Option { return func(s *Sidecar) { s.clock = clock } }
 
-// WithLog sets where events are logged.
+// WithLog sets the logger.
 func WithLog(l log.Interface) Option { return func(s *Sidecar) { s.log = l } }
 
-// WithCrashRecorder sets what tells the fleet of crashes.
-func WithCrashRecorder(v CrashRecorder) Option { return func(s *Sidecar) { s.victims = v } }
+// WithCrashRecorder sets the recorder of crashes for the fleet.
+func WithCrashRecorder(r CrashRecorder) Option { return func(s *Sidecar) { s.crashes = r } }
 
-// WithDeduplicator sets what remembers accepted attempts.
+// WithDeduplicator sets the detector of repeated attempts.
 func WithDeduplicator(a Deduplicator) Option { return func(s *Sidecar) { s.attempts = a } }
 
-// WithVersionObserver sets what takes the configuration versions that requests name.
-func WithVersionObserver(heard func(carawayspread.Version)) Option {
-	return func(s *Sidecar) { s.heard = heard }
+// WithVersionObserver sets the function that receives the configuration versions of
+// requests.
+func WithVersionObserver(observe func(carawayspread.Version)) Option {
+	return func(s *Sidecar) { s.versionObserver = observe }
 }
 
-// New returns the sidecar of those endpoints.
+// New returns a sidecar for the endpoints.
 func New(workers []Worker, opts ...Option) *Sidecar {
 	client := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: endpointDialTimeout}).DialContext,
-		MaxIdleConnsPerHost: idlePerEndpoint,
+		MaxIdleConnsPerHost: maxIdlePerEndpoint,
 		DisableCompression:  true,
 	}
-	// A request that must not run twice gets its own connection: net/http
-	// repeats requests on kept connections that turn out to be closed.
+	// An at-most-once request gets its own connection, since net/http retries requests
+	// on reused connections that turn out to be closed.
 	once := client.Clone()
 	once.DisableKeepAlives = true
 	s := &Sidecar{
-		workers:  map[carawayspread.EndpointID]*worker{},
-		client:   client,
-		once:     once,
-		clock:    carawayspread.SystemClock(),
-		log:      log.Log,
-		victims:  silent{},
-		attempts: openAttempts{},
-		heard:    func(carawayspread.Version) {},
+		workers:         map[carawayspread.EndpointID]*worker{},
+		client:          client,
+		once:            once,
+		clock:           carawayspread.SystemClock(),
+		log:             log.Log,
+		crashes:         noCrashRecorder{},
+		attempts:        acceptAllAttempts{},
+		versionObserver: func(carawayspread.Version) {},
 	}
 	for _, opt := range opts {
 		opt(s)
@@ -115,8 +117,8 @@
 	return s
 }
 
-// Drain refuses new work at one endpoint, or at all when id is empty, and
-// returns how many requests still run there.
+// Drain makes one endpoint, or all of them if id is empty, refuse new requests. It
+// returns the number of requests that still run there.
 func (s *Sidecar) Drain(id carawayspread.EndpointID) int {
 	running := 0
 	if id == "" {
@@ -131,20 +133,20 @@
 	return running
 }
 
-// Quiesce stops new work at an endpoint and returns when none runs there. Work
-// is admitted again by resume.
+// Quiesce makes an endpoint refuse new requests and returns when none runs there. Calling
+// resume admits requests again.
 func (s *Sidecar) Quiesce(ctx context.Context, id carawayspread.EndpointID) (resume func(), err error) {
 	w, ok := s.workers[id]
 	if !ok {
 		return nil, trace.NotFound("there is no endpoint %v", id)
 	}
-	return w.empty(ctx)
+	return w.quiesce(ctx)
 }
 
-// Draining reports whether the whole sidecar is leaving.
+// Draining reports whether the whole sidecar drains.
 func (s *Sidecar) Draining() bool { return s.draining.Load() }
 
-// Running returns the requests that run or wait at all endpoints.
+// Running returns the number of requests that run or wait at all endpoints.
 func (s *Sidecar) Running() int {
 	running := 0
 	for _, w := range s.workers {
@@ -153,11 +155,11 @@
 	return running
 }
 
-// Wait returns when no request runs, or when ctx ends.
+// Wait blocks until no request runs or waits, or until ctx ends.
 func (s *Sidecar) Wait(ctx context.Context) error {
 	for s.Running() > 0 {
 		select {
-		case <-s.clock.After(drainPoll):
+		case <-s.clock.After(drainPollInterval):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -165,21 +167,23 @@
 	return nil
 }
 
-const drainPoll = 20 * time.Millisecond
+const drainPollInterval = 20 * time.Millisecond
 
-// Close drops the idle connections to the endpoints.
+// Close closes the idle connections to the endpoints.
 func (s *Sidecar) Close() {
 	s.client.CloseIdleConnections()
 	s.once.CloseIdleConnections()
 }
 
-type silent struct{}
+type noCrashRecorder struct{}
 
-func (silent) Crashed(context.Context, carawayspread.EndpointID, ...uint64) error { return nil }
+func (noCrashRecorder) Crashed(context.Context, carawayspread.EndpointID, ...uint64) error {
+	return nil
+}
 
-type openAttempts struct{}
+type acceptAllAttempts struct{}
 
-func (openAttempts) Accept(string) bool { return true }
+func (acceptAllAttempts) Accept(string) bool { return true }
 
 func fingerprintOf(r *http.Request) uint64 {
 	return sidecarhttp.ParseFingerprint(r.Header.Get(sidecarhttp.HeaderFingerprint))
--- a/internal/process/sidecar/pause_test.go
+++ b/internal/process/sidecar/suspension_test.go
@@ -15,9 +15,10 @@
 	"carawayspread/internal/connection/sidecarhttp"
 )
 
-// An endpoint turns a request away and says for how long it takes none: each request
-// after it was passed on all the same, and its caller got the endpoint's refusal.
-func TestNothingIsPassedOnDuringAPause(t *testing.T) {
+// An endpoint refuses a request and sends a Retry-After header. Until that time has
+// passed, the sidecar must refuse requests itself, instead of forwarding each to the
+// endpoint and returning the endpoint's refusal to the caller.
+func TestSuspendedEndpointGetsNoRequests(t *testing.T) {
 	for name, status := range map[string]int{"unavailable": http.StatusServiceUnavailable, "too many": http.StatusTooManyRequests} {
 		t.Run(name, func(t *testing.T) {
 			hits := 0
@@ -31,7 +32,7 @@
 			s := New([]Worker{{ID: "w", Kind: carawayspread.KindPlain, Address: strings.TrimPrefix(endpoint.URL, "http://")}}, WithClock(clock))
 			t.Cleanup(s.Close)
 			attempt := 0
-			ask := func() *httptest.ResponseRecorder {
+			send := func() *httptest.ResponseRecorder {
 				attempt++
 				r := httptest.NewRequest(http.MethodPost, "/run/w/x", strings.NewReader("{}"))
 				r.Header.Set(sidecarhttp.HeaderAttempt, strconv.Itoa(attempt))
@@ -39,15 +40,15 @@
 				s.ServeHTTP(w, r)
 				return w
 			}
-			qt.Check(t, ask().Code, qt.Equals, status)
+			qt.Check(t, send().Code, qt.Equals, status)
 			clock.Advance(time.Second)
-			refused := ask()
+			refused := send()
 			qt.Check(t, hits, qt.Equals, 1)
 			qt.Check(t, refused.Header().Get(sidecarhttp.HeaderRefused), qt.Equals, string(carawayspread.CodeOverloaded))
 			qt.Check(t, refused.Header().Get(sidecarhttp.HeaderNotRun), qt.Equals, "true")
 			qt.Check(t, refused.Header().Get("Retry-After"), qt.Equals, "2")
 			clock.Advance(2 * time.Second)
-			_ = ask()
+			_ = send()
 			qt.Check(t, hits, qt.Equals, 2)
 		})
 	}
--- a/internal/process/sidecar/worker.go
+++ b/internal/process/sidecar/worker.go
@@ -15,27 +15,27 @@
 	"carawayspread/internal/connection/retryafter"
 )
 
-// worker is what the sidecar holds of one endpoint.
+// worker is the state of one endpoint.
 type worker struct {
-	spec     Worker
-	log      log.Interface
-	slots    chan struct{}
-	running  atomic.Int64
-	waiting  atomic.Int64
-	draining atomic.Bool
-	quiet    atomic.Int32 // changes that want the endpoint empty; not negative
-	closed   atomic.Int64 // until when the endpoint takes nothing, in Unix nanoseconds
-	down     atomic.Bool  // the last probe failed
-	late     atomic.Int64 // probes in a row that timed out
-	state    atomic.Pointer[observed]
-
-	mu     sync.Mutex
-	onIt   map[uint64]int  // running requests by fingerprint
-	trials map[uint64]bool // those of them that run as trials
-	blamed map[string]bool // lives of the endpoint whose crash was reported
+	spec           Worker
+	log            log.Interface
+	slots          chan struct{}
+	running        atomic.Int64
+	waiting        atomic.Int64
+	draining       atomic.Bool
+	quiescing      atomic.Int32 // running calls that need the endpoint idle; not negative
+	suspendedUntil atomic.Int64 // end of the endpoint's Retry-After, in Unix nanoseconds
+	down           atomic.Bool  // the last probe failed
+	timedOutProbes atomic.Int64 // consecutive probes that timed out
+	state          atomic.Pointer[observed]
+
+	mu              sync.Mutex
+	runningRequests map[uint64]int  // number of running requests by fingerprint
+	trials          map[uint64]bool // fingerprints of those that run as trials
+	reportedBoots   map[string]bool // boot IDs whose crash was reported
 }
 
-// observed is an engine's state and when it was read.
+// observed is an engine's state and the time at which it was read.
 type observed struct {
 	state carawayspread.EngineState
 	at    time.Time
@@ -46,30 +46,30 @@
 		spec.Slots = defaultSlots
 	}
 	w := &worker{
-		spec:   spec,
-		log:    l,
-		slots:  make(chan struct{}, spec.Slots),
-		onIt:   map[uint64]int{},
-		trials: map[uint64]bool{},
-		blamed: map[string]bool{},
+		spec:            spec,
+		log:             l,
+		slots:           make(chan struct{}, spec.Slots),
+		runningRequests: map[uint64]int{},
+		trials:          map[uint64]bool{},
+		reportedBoots:   map[string]bool{},
 	}
 	w.state.Store(&observed{})
 	return w
 }
 
-// waitingPart is the part of the slots' number that may wait. A longer queue
-// before the endpoint is out of the entries' order: with an unbounded one
-// goodput at twice the load fell to 26% of capacity in a trial on the fakes.
-const waitingPart = 4
+// slotsPerWaiter is the number of slots per waiting request. A longer queue at the
+// endpoint is outside the scheduling of the entries: with an unbounded queue, goodput
+// at twice the load fell to 26% of capacity in a run with stand-in engines.
+const slotsPerWaiter = 4
 
-// enter takes a slot, waiting at most for left.
-func (w *worker) enter(ctx context.Context, clock carawayspread.Clock, left time.Duration) *carawayspread.Error {
+// acquireSlot acquires a slot and waits at most for left.
+func (w *worker) acquireSlot(ctx context.Context, clock carawayspread.Clock, left time.Duration) *carawayspread.Error {
 	select {
 	case w.slots <- struct{}{}:
 		return nil
 	default:
 	}
-	if w.waiting.Add(1) > max(1, int64(cap(w.slots)/waitingPart)) {
+	if w.waiting.Add(1) > max(1, int64(cap(w.slots)/slotsPerWaiter)) {
 		w.waiting.Add(-1)
 		return full()
 	}
@@ -89,39 +89,40 @@
 		carawayspread.NotRun(), carawayspread.RetryAfter(refusalRetry))
 }
 
-func (w *worker) leave() { <-w.slots }
+func (w *worker) releaseSlot() { <-w.slots }
 
-// isClosed reports whether the endpoint takes no new work.
-func (w *worker) isClosed() bool { return w.draining.Load() || w.quiet.Load() > 0 }
+// isClosed reports whether the endpoint admits no new requests.
+func (w *worker) isClosed() bool { return w.draining.Load() || w.quiescing.Load() > 0 }
 
-// paused returns for how long the endpoint takes nothing, as it has asked.
-func (w *worker) paused(now time.Time) time.Duration {
-	return max(0, time.Duration(w.closed.Load()-now.UnixNano()))
+// suspension returns how long the endpoint must still get no requests because of its
+// Retry-After.
+func (w *worker) suspension(now time.Time) time.Duration {
+	return max(0, time.Duration(w.suspendedUntil.Load()-now.UnixNano()))
 }
 
-// pause takes how long the endpoint wants nothing where its answer turns a request away.
-func (w *worker) pause(now time.Time, resp *http.Response) {
+// suspend applies the Retry-After header of an answer that refuses a request (503 or 429).
+func (w *worker) suspend(now time.Time, resp *http.Response) {
 	if resp.StatusCode != http.StatusServiceUnavailable && resp.StatusCode != http.StatusTooManyRequests {
 		return
 	}
 	d, ok := retryafter.Parse(resp.Header, now)
-	if !ok || d <= w.paused(now) {
+	if !ok || d <= w.suspension(now) {
 		return
 	}
-	w.closed.Store(now.Add(d).UnixNano())
-	w.log.WithField("endpoint", w.spec.ID).WithField("ms", d.Milliseconds()).Info("endpoint asks for a pause")
+	w.suspendedUntil.Store(now.Add(d).UnixNano())
+	w.log.WithField("endpoint", w.spec.ID).WithField("ms", d.Milliseconds()).Info("endpoint suspended by its Retry-After header")
 }
 
-// empty refuses new work and takes every slot as it becomes free: whoever has
-// all of them knows that no request runs and that none can begin.
-func (w *worker) empty(ctx context.Context) (resume func(), err error) {
-	w.quiet.Add(1)
+// quiesce refuses new requests and acquires every slot as it becomes free. When all are
+// acquired, no request runs and none can start.
+func (w *worker) quiesce(ctx context.Context) (resume func(), err error) {
+	w.quiescing.Add(1)
 	taken := 0
 	resume = func() {
 		for range taken {
-			w.leave()
+			w.releaseSlot()
 		}
-		w.quiet.Add(-1)
+		w.quiescing.Add(-1)
 	}
 	for taken < cap(w.slots) {
 		select {
@@ -135,38 +136,38 @@
 	return resume, nil
 }
 
-func (w *worker) began(fingerprint uint64, trial bool) {
+func (w *worker) recordStart(fingerprint uint64, trial bool) {
 	w.running.Add(1)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.onIt[fingerprint]++
+	w.runningRequests[fingerprint]++
 	if trial {
 		w.trials[fingerprint] = true
 	}
 }
 
-func (w *worker) ended(fingerprint uint64) {
+func (w *worker) recordEnd(fingerprint uint64) {
 	w.running.Add(-1)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.onIt[fingerprint]--; w.onIt[fingerprint] <= 0 {
-		delete(w.onIt, fingerprint)
+	if w.runningRequests[fingerprint]--; w.runningRequests[fingerprint] <= 0 {
+		delete(w.runningRequests, fingerprint)
 		delete(w.trials, fingerprint)
 	}
 }
 
-// suspects returns the requests that were running when that life of the
-// endpoint ended, and the one of them that ran as a trial; nil when they were
+// takeSuspects returns the requests that were running when the endpoint with that boot
+// ID crashed, and the one of them that ran as a trial. It returns nil if they were
 // reported already.
-func (w *worker) suspects(life string) (running []uint64, trial *uint64) {
+func (w *worker) takeSuspects(boot string) (running []uint64, trial *uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.blamed[life] {
+	if w.reportedBoots[boot] {
 		return nil, nil
 	}
-	clear(w.blamed)
-	w.blamed[life] = true
-	for fingerprint := range w.onIt {
+	clear(w.reportedBoots)
+	w.reportedBoots[boot] = true
+	for fingerprint := range w.runningRequests {
 		if fingerprint != 0 {
 			running = append(running, fingerprint)
 		}
@@ -177,37 +178,37 @@
 	return running, trial
 }
 
-// probe asks the endpoint for its state and reports whether it still lives the
-// life that it lived before.
+// probe reads the state of the endpoint and reports whether it still runs with that
+// boot ID.
 //
-// Failure: a busy endpoint answers its probe late. Symptom: it is taken for
-// crashed, and with few endpoints none is left. A probe that is only late
-// counts after the third in a row; one that is refused or cut counts at once.
-func (w *worker) probe(ctx context.Context, client http.RoundTripper, now time.Time, life string) bool {
+// A busy endpoint may answer its probe late. It must not be taken for crashed, as a
+// service with few endpoints would have none left. A timed-out probe therefore counts
+// only from the third in a row; one that is refused or cut counts at once.
+func (w *worker) probe(ctx context.Context, client http.RoundTripper, now time.Time, boot string) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	state, err := engine.New(w.spec.Address, &http.Client{Transport: client}).State(ctx)
 	if err != nil {
-		late := errors.Is(ctx.Err(), context.DeadlineExceeded) && w.late.Add(1) < lateProbes
+		late := errors.Is(ctx.Err(), context.DeadlineExceeded) && w.timedOutProbes.Add(1) < maxTimedOutProbes
 		if !late {
 			w.setDown(true, err)
 		}
 		return late
 	}
-	w.late.Store(0)
+	w.timedOutProbes.Store(0)
 	w.setDown(false, nil)
 	w.state.Store(&observed{state: state, at: now})
-	return state.Boot == life || life == ""
+	return state.Boot == boot || boot == ""
 }
 
 func (w *worker) setDown(down bool, err error) {
 	if w.down.Swap(down) != down {
-		w.log.WithField("endpoint", w.spec.ID).WithField("down", down).WithField("error", err).Warn("endpoint changed")
+		w.log.WithField("endpoint", w.spec.ID).WithField("down", down).WithField("error", err).Warn("endpoint availability changed")
 	}
 }
 
-// lateProbes is how many probes in a row may time out before the endpoint
-// counts as down.
-const lateProbes = 3
+// maxTimedOutProbes is how many consecutive probes must time out until the endpoint counts
+// as down.
+const maxTimedOutProbes = 3
 
-func (w *worker) life() string { return w.state.Load().state.Boot }
+func (w *worker) bootID() string { return w.state.Load().state.Boot }
