--- a/internal/decision/hashrouter/router.go
+++ b/internal/decision/hashrouter/router.go
@@ -9,67 +9,65 @@
 )
 
 const (
-	// reportLife is the age at which a report has no weight left. Reports come
-	// every few seconds; after three or four lost ones an entry knows no more
-	// than its own attempts.
-	reportLife = 15 * time.Second
-	// crashLife bounds how long a crash is believed without a newer report.
-	crashLife = 30 * time.Second
-	// fullLoad and fullLife say when an endpoint is spared a request that its
-	// sidecar would refuse: its queue exceeds a quarter of its slots, and the
-	// account of it is no older than a place takes to come free.
+	// reportTTL is the age at which a report has no weight left. Reports arrive every few seconds;
+	// after three or four lost ones an entry knows only its own attempts.
+	reportTTL = 15 * time.Second
+	// crashTTL bounds how long a crash is believed without a newer report.
+	crashTTL = 30 * time.Second
+	// fullLoad and fullTTL define when an endpoint is skipped because its sidecar would refuse the
+	// request: its queue exceeds a quarter of its slots, and the report is no older than it takes
+	// for a slot to become free.
 	fullLoad = 1.25
-	fullLife = 20 * time.Millisecond
-	// unknownSlots stands for the slots of an endpoint that never reported.
+	fullTTL  = 20 * time.Millisecond
+	// unknownSlots is assumed for an endpoint that never reported its slots.
 	unknownSlots = 16
-	// lostLife is how long a lost endpoint keeps its place on the ring, so
-	// that the work which mapped to it counts as displaced. It covers the time
-	// in which callers send a request again.
-	lostLife = 10 * time.Minute
-	// rebuildAfter bounds how often changed residency rebuilds the rings.
+	// lostTTL is how long a lost endpoint keeps its place on the ring, so that the work mapped to
+	// it counts as outside affinity. It covers the time in which callers resend a request.
+	lostTTL = 10 * time.Minute
+	// rebuildAfter is the minimum interval between rebuilds of the rings because of changed
+	// residency.
 	rebuildAfter = 5 * time.Second
-	// defaultSpread is the number of second candidates of one prefix. A prefix
-	// with a quarter of the load of 32 endpoints got 75% of its callers served
-	// in time with 1, 87% with 4, 97% with 16 and 99.9% with 512; prefixes that
-	// are not hot lose nothing by it, as overflowShare holds them back.
+	// defaultSpread is the number of second candidates of one prefix. A prefix with a quarter of
+	// the load of 32 endpoints got 75% of its callers served in time with 1, 87% with 4, 97% with
+	// 16 and 99.9% with 512. Prefixes that are not hot lose nothing by it, since overflowShare
+	// holds them back.
 	defaultSpread = 512
-	// overflowShare is the part of the attempts, in thousandths, that known
-	// prefixes may send away from their first candidate because of load. In
-	// the 20 s after a cold start of 8 endpoints 97% of the answers were in
-	// time with 200, 90% with 1,000.
+	// overflowShare is the fraction of the attempts, in thousandths, that recently seen prefixes
+	// may send away from their first candidate because of load. In the 20 s after a cold start of 8
+	// endpoints, 97% of the answers were in time with 200 and 90% with 1,000.
 	overflowShare = 200
-	// homeBias is the load by which the first candidate of a prefix may exceed
-	// the second before work moves. Engines with 64 slots run at about a third
-	// of them: with a bias of 16 slots and a ramp of 32 the load hardly counted.
-	homeBias = 0.1
-	// ramp is the difference of loads over which the share of the second
-	// candidate grows from none to all. Entries that share one old report move
-	// a part of their work each instead of all at once.
-	ramp = 0.2
-	// otherZone is the load that a hop to another availability zone is worth.
-	otherZone = 0.1
+	// affinityBias is how much the load of a prefix's first candidate may exceed that of the second
+	// before work moves. Engines with 64 slots use about a third of them: with a bias of 16 slots
+	// and a ramp of 32, the load hardly counted.
+	affinityBias = 0.1
+	// loadRamp is the difference in load over which the share of the second candidate grows from
+	// none to all. Entries that share one old report each move a part of their work instead of all
+	// at once.
+	loadRamp = 0.2
+	// crossZoneCost is the load to which a hop to another availability zone is equivalent.
+	crossZoneCost = 0.1
 )
 
-// Router is a carawayspread.Router that gives each fingerprint at most two
-// endpoints and lets load decide between them.
+// Router is a carawayspread.Router that maps each fingerprint to at most two endpoints and lets
+// load decide between them.
 type Router struct {
-	clock  carawayspread.Clock
-	zone   string
-	spread uint64
-	seed   uint64
-	draws  atomic.Uint64
-	heat   heat
-	budget budget
-	now    atomic.Pointer[snapshot]
-	mu     sync.Mutex  // serialises those who replace the snapshot
-	stale  atomic.Bool // residency changed since the snapshot was built
+	clock     carawayspread.Clock
+	zone      string
+	spread    uint64
+	seed      uint64
+	drawCount atomic.Uint64
+	heat      heat
+	budget    budget
+	current   atomic.Pointer[snapshot]
+	mu        sync.Mutex  // serialises replacements of the snapshot
+	stale     atomic.Bool // residency or role changed since the snapshot was built
 }
 
 // Option sets an optional part of a Router.
 type Option func(*Router)
 
-// Spread sets the number of second candidates of one prefix. All entries must
-// agree on it, or a fingerprint maps to more than two endpoints.
+// Spread sets the number of second candidates of one prefix. All entries must use the same number;
+// otherwise a fingerprint maps to more than two endpoints.
 func Spread(n int) Option { return func(r *Router) { r.spread = uint64(max(1, n)) } }
 
 var _ = carawayspread.Routers.Register("hashRouter", func(env carawayspread.Environment) carawayspread.Router {
@@ -82,121 +80,119 @@
 	for _, opt := range opts {
 		opt(r)
 	}
-	r.now.Store(newSnapshot(map[carawayspread.EndpointID]*member{}, r.clock.Now()))
+	r.current.Store(newSnapshot(map[carawayspread.EndpointID]*member{}, r.clock.Now()))
 	return r
 }
 
-// SetEndpoints replaces the list. Endpoints that it no longer names keep their
-// place on the ring for lostLife, so it is to be called with every reading of
-// the list.
+// SetEndpoints replaces the list. Endpoints that are no longer listed keep their place on the ring
+// for lostTTL, which is checked only here, so SetEndpoints must be called after every read of the
+// list.
 func (r *Router) SetEndpoints(endpoints []carawayspread.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
-	next := r.now.Load().next(endpoints, now)
+	next := r.current.Load().next(endpoints, now)
 	if next == nil {
 		return
 	}
 	r.stale.Store(false)
-	r.now.Store(newSnapshot(next, now))
+	r.current.Store(newSnapshot(next, now))
 }
 
-// Reported takes a report of a known endpoint.
+// Reported records a report; reports of unknown endpoints are ignored.
 func (r *Router) Reported(report carawayspread.EndpointReport) {
-	m, ok := r.now.Load().byID[report.Endpoint]
-	if ok && m.hear(report) {
+	m, ok := r.current.Load().byID[report.Endpoint]
+	if ok && m.update(report) {
 		r.stale.Store(true)
 	}
 	r.refresh()
 }
 
-// refresh rebuilds the rings after models moved, at most once in rebuildAfter.
+// refresh rebuilds the rings after resident models or roles changed, at most once per rebuildAfter.
 func (r *Router) refresh() {
 	now := r.clock.Now()
-	if !r.stale.Load() || now.Sub(r.now.Load().built) < rebuildAfter {
+	if !r.stale.Load() || now.Sub(r.current.Load().built) < rebuildAfter {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.stale.Swap(false) {
-		r.now.Store(newSnapshot(r.now.Load().byID, now))
+		r.current.Store(newSnapshot(r.current.Load().byID, now))
 	}
 }
 
-// Pick chooses between the two candidates of the job, and looks further only
-// when both are unavailable.
-func (r *Router) Pick(job *carawayspread.Job, standing func(carawayspread.EndpointID) carawayspread.Availability) carawayspread.Choice {
-	s := r.now.Load()
+// Pick chooses between the two candidates of the job, and tries other endpoints only when both are
+// unavailable.
+func (r *Router) Pick(job *carawayspread.Job, availability func(carawayspread.EndpointID) carawayspread.Availability) carawayspread.Choice {
+	s := r.current.Load()
 	if s.listed == 0 {
 		return carawayspread.Choice{}
 	}
-	p := pick{snapshot: s, job: job, standing: standing, now: r.clock.Now()}
-	near, far := s.pools(job)
-	home, other := near.rings(job.Model), far.rings(job.Model)
-	first, second := r.candidates(home.current, other.current, job)
-	a, b := p.ask(first), p.ask(second)
+	p := pick{snapshot: s, job: job, availability: availability, now: r.clock.Now()}
+	firstPool, secondPool := s.pools(job)
+	firstRings, secondRings := firstPool.rings(job.Model), secondPool.rings(job.Model)
+	first, second := r.candidates(firstRings.current, secondRings.current, job)
+	a, b := p.check(first), p.check(second)
 	chosen := first
 	switch {
 	case a == carawayspread.AvailabilityFree && b == carawayspread.AvailabilityFree:
-		chosen = r.lighter(&p, first, second)
+		chosen = r.lessLoaded(&p, first, second)
 	case a == carawayspread.AvailabilityFree:
 	case b == carawayspread.AvailabilityFree && (a == carawayspread.AvailabilityExcluded || r.overflows(&p)):
 		chosen = second
 	case a == carawayspread.AvailabilityBusy || b == carawayspread.AvailabilityBusy:
 		return carawayspread.Choice{Wait: true}
 	default:
-		return p.displaced(home.current, s.any.all.current)
+		return p.fallback(firstRings.current, s.all.anyModel.current)
 	}
-	return carawayspread.Choice{Endpoint: chosen.id, OutsideAffinity: r.replaced(&p, home, other, chosen)}
+	return carawayspread.Choice{Endpoint: chosen.id, OutsideAffinity: r.replacesFailed(&p, firstRings, secondRings, chosen)}
 }
 
-// replaced reports whether the chosen endpoint took the place of a candidate
-// that was lost or crashed lately. A newcomer changes the candidates of some
-// fingerprints; without this a harmful request that brought down its own two
-// would get the newcomer as a third.
-func (r *Router) replaced(p *pick, home, other rings, chosen *endpoint) bool {
-	if home.settled == home.current && other.settled == other.current {
+// replacesFailed reports whether the chosen endpoint took the place of a candidate that was lost or
+// crashed recently. A new endpoint changes the candidates of some fingerprints; without this check,
+// a harmful request that crashed its own two candidates would get the new endpoint as a third.
+func (r *Router) replacesFailed(p *pick, firstRings, secondRings rings, chosen *endpoint) bool {
+	if firstRings.established == firstRings.current && secondRings.established == secondRings.current {
 		return false
 	}
-	first, second := r.candidates(home.settled, other.settled, p.job)
+	first, second := r.candidates(firstRings.established, secondRings.established, p.job)
 	if chosen == first || chosen == second {
 		return false
 	}
-	return p.troubled(first) || p.troubled(second)
+	return p.recentlyFailed(first) || p.recentlyFailed(second)
 }
 
-// overflows reports whether the job may leave its first candidate because of
-// load. After a restart every prompt misses its cache and all first candidates
-// are full; if all that work went elsewhere it would evict prefixes there
-// before they are used again, and the misses would never end. A hot prefix may
-// always overflow, since it is soon cached everywhere, and so may an unknown
-// one, since it is cached nowhere.
+// overflows reports whether the job may leave its first candidate because of load. After a restart
+// every prompt misses its cache and all first candidates are full. If all that work moved, it would
+// evict prefixes elsewhere before they are used again, and the cache misses would never end. A hot
+// prefix may always overflow, since it is soon cached everywhere, and so may a prefix not seen
+// recently, since it is cached nowhere.
 func (r *Router) overflows(p *pick) bool {
-	if p.job.Prefix == 0 || !r.heat.known(p.job.Prefix) || r.heat.hot(p.job.Prefix, p.snapshot.listed) {
+	if p.job.Prefix == 0 || !r.heat.seen(p.job.Prefix) || r.heat.hot(p.job.Prefix, p.snapshot.listed) {
 		return true
 	}
 	return r.budget.spend()
 }
 
-// candidates returns the endpoints that every entry derives for the job. The
-// first follows from the prefix, so that its cache is found again. The second
-// also follows from the body: a hot prefix overflows onto many endpoints, and
-// still each of its requests has one second candidate.
-func (r *Router) candidates(home, other *ring, job *carawayspread.Job) (first, second *endpoint) {
+// candidates returns the endpoints that every entry derives for the job. The first depends on the
+// prefix, so that its cache is found again. The second also depends on the body: a hot prefix
+// overflows onto many endpoints, while each of its requests still has a single second candidate.
+func (r *Router) candidates(firstRing, secondRing *ring, job *carawayspread.Job) (first, second *endpoint) {
 	if job.Prefix == 0 {
-		first = home.after(mix(job.Fingerprint, 0))
-		return first, other.after(mix(job.Fingerprint, 1), first)
+		first = firstRing.successor(mix(job.Fingerprint, 0))
+		return first, secondRing.successor(mix(job.Fingerprint, 1), first)
 	}
-	first = home.after(mix(job.Prefix, 0))
-	return first, other.after(mix(job.Prefix, 1+job.Fingerprint%r.spread), first)
+	first = firstRing.successor(mix(job.Prefix, 0))
+	return first, secondRing.successor(mix(job.Prefix, 1+job.Fingerprint%r.spread), first)
 }
 
-// lighter chooses between two available candidates.
-func (r *Router) lighter(p *pick, first, second *endpoint) *endpoint {
+// lessLoaded chooses between two available candidates at random, with a probability that depends on
+// their costs.
+func (r *Router) lessLoaded(p *pick, first, second *endpoint) *endpoint {
 	difference := p.cost(r.zone, first) - p.cost(r.zone, second)
-	toSecond := difference/ramp + 0.5
+	toSecond := difference/loadRamp + 0.5
 	if p.job.Prefix != 0 {
-		toSecond = (difference - homeBias) / ramp
+		toSecond = (difference - affinityBias) / loadRamp
 	}
 	if r.draw() < toSecond && r.overflows(p) {
 		return second
@@ -204,13 +200,13 @@
 	return first
 }
 
-// draw returns a number in [0, 1) without a lock.
+// draw returns a random number in [0, 1) without a lock.
 func (r *Router) draw() float64 {
 	const bits = 53
-	return float64(mix(r.seed, r.draws.Add(1))>>(64-bits)) / (1 << bits)
+	return float64(mix(r.seed, r.drawCount.Add(1))>>(64-bits)) / (1 << bits)
 }
 
-// Sent counts an attempt of this entry.
+// Sent counts an attempt of this entry as in flight.
 func (r *Router) Sent(id carawayspread.EndpointID, job *carawayspread.Job) {
 	r.count(id, 1)
 	r.budget.earn(overflowShare)
@@ -219,13 +215,13 @@
 	}
 }
 
-// Ended counts it off.
+// Ended removes an attempt from the count.
 func (r *Router) Ended(id carawayspread.EndpointID, _ *carawayspread.Job, _ carawayspread.Outcome) {
 	r.count(id, -1)
 }
 
 func (r *Router) count(id carawayspread.EndpointID, by int64) {
-	if m, ok := r.now.Load().byID[id]; ok {
-		m.own.Add(by)
+	if m, ok := r.current.Load().byID[id]; ok {
+		m.inFlight.Add(by)
 	}
 }
--- a/internal/decision/overload/degradation_test.go
+++ b/internal/decision/overload/degradation_test.go
@@ -56,7 +56,7 @@
 				budget.Allow()
 			}
 			quarantineState.Crashed(quarantine.Crash{Endpoint: ids[0], At: clock.Now()}, []uint64{1}, nil)
-			quarantineState.Convicted(2, 10*time.Minute)
+			quarantineState.Quarantined(2, 10*time.Minute)
 			limit := limiter.Limit()
 			sameJob := job()
 			for range 50 {
--- a/internal/process/dispatcher/dispatcher.go
+++ b/internal/process/dispatcher/dispatcher.go
@@ -142,7 +142,7 @@
 		limits += limit
 		slots += s.lastSlots(limit)
 	}
-	d.window.Fleet(slots, max(1, int(d.entries.Load())))
+	d.window.SetCapacity(slots, max(1, int(d.entries.Load())))
 	return min(d.window.Size(), limits)
 }
 
--- a/internal/process/entry/entry.go
+++ b/internal/process/entry/entry.go
@@ -39,8 +39,8 @@
 	// Current returns the configuration. It refreshes it first if this process
 	// cannot prove that the one it holds is recent.
 	Current(ctx context.Context) *carawayspread.Config
-	// Heard records a version that another process has reported.
-	Heard(version carawayspread.Version)
+	// ObserveVersion records a version that another process has reported.
+	ObserveVersion(version carawayspread.Version)
 }
 
 // Entry serves callers' requests. It is an http.Handler and safe for concurrent use.
--- a/internal/process/entry/suspects.go
+++ b/internal/process/entry/suspects.go
@@ -40,7 +40,7 @@
 // refusal. It marks the endpoints that the call has crashed as tried.
 func (e *Entry) checkQuarantine(ctx context.Context, c *call.Call, slot *dispatcher.Slot, tried map[carawayspread.EndpointID]bool) (quarantineResult, *carawayspread.Error) {
 	fingerprint := c.Job().Fingerprint
-	verdict, refusal := e.suspects.Decide(quarantine.Attempt{Fingerprint: fingerprint, Displaced: slot.OutsideAffinity()})
+	verdict, refusal := e.suspects.Decide(quarantine.Attempt{Fingerprint: fingerprint, OutsideAffinity: slot.OutsideAffinity()})
 	switch verdict {
 	case quarantine.VerdictRun:
 		return quarantineResult{}, nil
@@ -50,11 +50,11 @@
 	crashed, refusal := e.trials.Claim(ctx, fingerprint)
 	if refusal != nil {
 		if refusal.Code() == carawayspread.CodeQuarantined {
-			e.suspects.Convicted(fingerprint, refusal.RetryAfter())
+			e.suspects.Quarantined(fingerprint, refusal.RetryAfter())
 		}
 		return quarantineResult{}, refusal
 	}
-	crashed = append(crashed, e.suspects.Crashes(fingerprint)...)
+	crashed = append(crashed, e.suspects.CrashedEndpoints(fingerprint)...)
 	for _, id := range crashed {
 		tried[id] = true
 	}
--- a/internal/process/follower/follower.go
+++ b/internal/process/follower/follower.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"carawayspread"
-	"carawayspread/internal/decision/readers"
+	"carawayspread/internal/decision/zonereader"
 )
 
 // Source reads the platform's store and keeps the newest of what it read or was
@@ -26,8 +26,8 @@
 	Learn(carawayspread.Knowledge) (bool, error)
 }
 
-// Asker has a peer hand on what it knows of a matter.
-type Asker interface {
+// Puller has a peer hand on what it knows of a matter.
+type Puller interface {
 	Ask(ctx context.Context, peer string, of carawayspread.Resource) error
 	// AskTime has it bound the store's steady clock alone.
 	AskTime(ctx context.Context, peer string) error
@@ -61,7 +61,7 @@
 // Follower is one process's side. Its Run functions are called once each.
 type Follower struct {
 	source   Source
-	rota     *readers.Rota
+	rota     *zonereader.Election
 	zone     string
 	capacity uint32
 	announce func() // tells the peers of the zone how this process stands
@@ -78,7 +78,7 @@
 
 // New returns a follower of the source. The store's clock bounds the age of what it
 // holds.
-func New(source Source, rota *readers.Rota, zone string, capacity uint32, announce func(), clock carawayspread.Clock, store StoreClock) *Follower {
+func New(source Source, rota *zonereader.Election, zone string, capacity uint32, announce func(), clock carawayspread.Clock, store StoreClock) *Follower {
 	f := &Follower{
 		source: source, rota: rota, zone: zone, capacity: capacity, announce: announce, clock: clock, store: store,
 	}
@@ -110,9 +110,9 @@
 	return f.rota.Stale(carawayspread.ResourceRoutes) || f.rota.Stale(carawayspread.ResourceEndpoints)
 }
 
-// Presence returns what this process says of itself.
-func (f *Follower) Presence() carawayspread.PeerStatus {
-	s := carawayspread.PeerStatus{Zone: f.zone, Capacity: f.capacity, CanReadStore: f.rota.Able()}
+// PeerStatus returns what this process says of itself.
+func (f *Follower) PeerStatus() carawayspread.PeerStatus {
+	s := carawayspread.PeerStatus{Zone: f.zone, Capacity: f.capacity, CanReadStore: f.rota.CanRead()}
 	for of := range carawayspread.ResourceCount {
 		age, ever := f.rota.Age(of)
 		if !ever {
@@ -138,14 +138,14 @@
 	return own
 }
 
-// Heard takes what a peer says of itself.
+// ObservePeer takes what a peer says of itself.
 //
 // A version that a peer claims is believed only for contents that are the same
 // here, and only as long as they are: a message that is forged or damaged costs a
 // call to the store, since this process reads for itself when nothing else is newer,
 // and moves nothing back.
-func (f *Follower) Heard(id uint64, peer string, s carawayspread.PeerStatus) {
-	f.rota.Heard(id, s)
+func (f *Follower) ObservePeer(id uint64, peer string, s carawayspread.PeerStatus) {
+	f.rota.ObservePeer(id, s)
 	now := f.clock.Now()
 	for of := range carawayspread.ResourceCount {
 		c := claim{of: of, peer: peer, at: now, claim: s.Resources[of]}
@@ -202,7 +202,7 @@
 	if c.claim.Version <= have {
 		return false
 	}
-	return f.rota.Stale(c.of) || zone == f.zone && !f.rota.Reads() || c.of == carawayspread.ResourceRoutes && have > 0
+	return f.rota.Stale(c.of) || zone == f.zone && !f.rota.IsReader() || c.of == carawayspread.ResourceRoutes && have > 0
 }
 
 func (f *Follower) moved(of carawayspread.Resource) {
@@ -214,7 +214,7 @@
 
 // RunPulls has peers hand on what they know and this process does not, until ctx
 // ends. No matter waits for another one's transfer.
-func (f *Follower) RunPulls(ctx context.Context, asker Asker) error {
+func (f *Follower) RunPulls(ctx context.Context, asker Puller) error {
 	var running sync.WaitGroup
 	for of := range carawayspread.ResourceCount {
 		running.Go(func() { f.runPulls(ctx, asker, of) })
@@ -223,7 +223,7 @@
 	return ctx.Err()
 }
 
-func (f *Follower) runPulls(ctx context.Context, asker Asker, of carawayspread.Resource) {
+func (f *Follower) runPulls(ctx context.Context, asker Puller, of carawayspread.Resource) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -234,7 +234,7 @@
 	}
 }
 
-func (f *Follower) pull(ctx context.Context, asker Asker, c claim) {
+func (f *Follower) pull(ctx context.Context, asker Puller, c claim) {
 	if f.agrees(c) || c.claim.Version <= f.have(c.of).Version {
 		return // it has come from elsewhere meanwhile
 	}
@@ -254,8 +254,8 @@
 	f.moved(c.of)
 }
 
-// RunList follows the endpoints until ctx ends.
-func (f *Follower) RunList(ctx context.Context) error {
+// RunEndpoints follows the endpoints until ctx ends.
+func (f *Follower) RunEndpoints(ctx context.Context) error {
 	return f.run(ctx, carawayspread.ResourceEndpoints, func() {
 		begun := f.clock.Now()
 		err := f.source.Read(ctx, carawayspread.ResourceEndpoints)
@@ -267,22 +267,22 @@
 func (f *Follower) RunRoutes(ctx context.Context) error {
 	return f.run(ctx, carawayspread.ResourceRoutes, func() {
 		begun := f.clock.Now()
-		if !f.rota.Reads() {
+		if !f.rota.IsReader() {
 			f.called(carawayspread.ResourceRoutes, begun, begun, f.source.Read(ctx, carawayspread.ResourceRoutes))
 			return
 		}
-		err := f.source.Watch(ctx, f.rota.Wait())
+		err := f.source.Watch(ctx, f.rota.WatchTimeout())
 		f.called(carawayspread.ResourceRoutes, begun, f.clock.Now(), err)
 	})
 }
 
 // called takes note of a call, and tells the zone what it brought.
 func (f *Follower) called(of carawayspread.Resource, begun, asOf time.Time, err error) {
-	f.rota.Called(of, begun, asOf, err)
+	f.rota.RecordCall(of, begun, asOf, err)
 	if err != nil {
 		return
 	}
-	if f.rota.Reads() {
+	if f.rota.IsReader() {
 		f.announce()
 	}
 }
@@ -290,7 +290,7 @@
 // run makes the call each time that it is due.
 func (f *Follower) run(ctx context.Context, of carawayspread.Resource, call func()) error {
 	for ctx.Err() == nil {
-		wait := f.rota.Due(of)
+		wait := f.rota.NextCallIn(of)
 		if wait <= 0 {
 			call()
 			continue
--- a/internal/process/follower/evidence.go
+++ b/internal/process/follower/freshness.go
@@ -41,7 +41,7 @@
 // RunStoreClock keeps the store's clock known until ctx ends: by the peer that reads the
 // store, or by a call where that does not help. Processes that learn all from peers
 // make no call of their own for long.
-func (f *Follower) RunStoreClock(ctx context.Context, asker Asker) error {
+func (f *Follower) RunStoreClock(ctx context.Context, asker Puller) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -83,7 +83,7 @@
 // is asked after the call to Refresh: one that was under way says nothing of what was
 // accepted since. Where the store did not answer a moment ago, none is asked.
 func (f *Follower) Refresh(ctx context.Context) error {
-	if !f.rota.Able() {
+	if !f.rota.CanRead() {
 		return carawayspread.ErrUnavailable
 	}
 	r := &f.refresh
