--- a/internal/daemon/entryd/daemon.go
+++ b/internal/daemon/entryd/daemon.go
@@ -125,7 +125,7 @@
 
 // leaveAfter returns when ctx has ended and every request has its answer.
 //
-// The lanes and the watch must live until then: a queued request that nobody
+// The dispatchers and the watch must live until then: a queued request that nobody
 // sends would hold up the shutdown for ever.
 func (d *Daemon) leaveAfter(ctx, work context.Context) error {
 	select {
