--- a/internal/process/follower/follower.go
+++ b/internal/process/follower/follower.go
@@ -1,5 +1,5 @@
-// Package follower keeps a process's routes and endpoints as new as is promised,
-// from the platform's store or from peers that read it.
+// Package follower keeps a process's routes and endpoints within the guaranteed age, from the
+// platform's store or from peers that read it.
 package follower
 
 import (
@@ -11,293 +11,296 @@
 	"carawayspread/internal/decision/zonereader"
 )
 
-// Source reads the platform's store and keeps the newest of what it read or was
-// handed.
+// Source reads the platform's store and keeps the newest version of what it read or received from
+// peers.
 type Source interface {
-	// Read reads a matter whole.
-	Read(ctx context.Context, of carawayspread.Resource) error
-	// Watch returns when routes have changed, or after the wait.
+	// Read reads the full contents of a resource.
+	Read(ctx context.Context, resource carawayspread.Resource) error
+	// Watch returns when the routes have changed, or after the wait.
 	Watch(ctx context.Context, wait time.Duration) error
-	// Status returns what is known of a matter.
-	Status(of carawayspread.Resource) carawayspread.ResourceStatus
-	// NewerThan returns what is newer than these versions.
+	// Status returns the version and digest of the contents held of a resource.
+	Status(resource carawayspread.Resource) carawayspread.ResourceStatus
+	// NewerThan returns the contents that are newer than these versions.
 	NewerThan(routes, list uint64) carawayspread.Knowledge
-	// Learn takes what is newer than what it has, and reports whether it did.
+	// Learn applies what is newer than the contents held, and reports whether it applied any.
 	Learn(carawayspread.Knowledge) (bool, error)
 }
 
-// Puller has a peer hand on what it knows of a matter.
+// Puller fetches data from peers.
 type Puller interface {
-	Ask(ctx context.Context, peer string, of carawayspread.Resource) error
-	// AskTime has it bound the store's steady clock alone.
+	// Ask fetches and applies the peer's contents of a resource.
+	Ask(ctx context.Context, peer string, resource carawayspread.Resource) error
+	// AskTime fetches only the peer's bound on the store's monotonic clock.
 	AskTime(ctx context.Context, peer string) error
 }
 
-// known is what this process holds of one matter, beside the contents.
-type known struct {
-	// version is the newest under which the contents are known to hold: the
-	// source's own, or that of a peer that holds the same.
+// knownVersion is what this process knows about the version of one resource that it holds.
+type knownVersion struct {
+	// version is the newest version known to have the contents held: the source's own, or that of
+	// a peer with the same contents.
 	version uint64
-	// alike is the digest that a peer gives for what was taken from it, where this
-	// process has kept a newer entry of its own.
-	alike uint64
-	// source is the version of the source that version was taken for.
-	source uint64
-	// stamp is what the store's clock showed when a peer's source had this or an older
-	// version as the newest; zero where no peer has said so.
-	stamp time.Duration
-	// stampedBy is the address of the peer that said so.
-	stampedBy string
+	// peerDigest is the digest that a peer reports for the contents pulled from it. It differs from
+	// the own digest if this process has kept a newer entry of its own.
+	peerDigest uint64
+	// sourceVersion is the source's version for which version was recorded.
+	sourceVersion uint64
+	// storeTime is the reading of the store's clock at which a peer's source had this or an older
+	// version as the newest; zero if no peer has reported one.
+	storeTime time.Duration
+	// storeTimePeer is the address of the peer that reported storeTime.
+	storeTimePeer string
 }
 
-// claim is what a peer says it knows, and when it said so.
-type claim struct {
-	of    carawayspread.Resource
-	peer  string
-	at    time.Time
-	claim carawayspread.ResourceStatus
+// peerReport is the status that a peer reports for one resource, and when the report arrived.
+type peerReport struct {
+	resource   carawayspread.Resource
+	peer       string
+	receivedAt time.Time
+	status     carawayspread.ResourceStatus
 }
 
-// Follower is one process's side. Its Run functions are called once each.
+// Follower keeps one process's routes and endpoints up to date. Each of its Run functions is called
+// once.
 type Follower struct {
 	source   Source
-	rota     *zonereader.Election
+	election *zonereader.Election
 	zone     string
 	capacity uint32
-	announce func() // tells the peers of the zone how this process stands
+	announce func() // sends the status of this process to the peers of the zone
 	clock    carawayspread.Clock
 	store    StoreClock
-	pulls    [carawayspread.ResourceCount]chan claim
-	heard    [carawayspread.ResourceCount]chan struct{} // something was heard that moves the next call
+	pulls    [carawayspread.ResourceCount]chan peerReport
+	wake     [carawayspread.ResourceCount]chan struct{} // signals that a confirmation moved the next call
 
 	mu    sync.Mutex
-	known [carawayspread.ResourceCount]known
+	known [carawayspread.ResourceCount]knownVersion
 
 	refresh refresh
 }
 
-// New returns a follower of the source. The store's clock bounds the age of what it
-// holds.
-func New(source Source, rota *zonereader.Election, zone string, capacity uint32, announce func(), clock carawayspread.Clock, store StoreClock) *Follower {
+// New returns a follower of the source. The store's clock bounds the age of the contents held.
+func New(source Source, election *zonereader.Election, zone string, capacity uint32, announce func(), clock carawayspread.Clock, store StoreClock) *Follower {
 	f := &Follower{
-		source: source, rota: rota, zone: zone, capacity: capacity, announce: announce, clock: clock, store: store,
+		source: source, election: election, zone: zone, capacity: capacity, announce: announce, clock: clock, store: store,
 	}
-	for of := range f.heard {
-		f.heard[of] = make(chan struct{}, 1)
-		f.pulls[of] = make(chan claim, 1)
+	for resource := range f.wake {
+		f.wake[resource] = make(chan struct{}, 1)
+		f.pulls[resource] = make(chan peerReport, 1)
 	}
 	return f
 }
 
-// NewerThan returns what is newer than these versions, for a peer.
+// NewerThan returns the contents that are newer than these versions, to be passed on to a peer.
 func (f *Follower) NewerThan(routes, list uint64) carawayspread.Knowledge {
 	known := f.source.NewerThan(routes, list)
 	known.StoreTime, _ = f.store.Now()
 	return known
 }
 
-// Status returns what this process holds of a matter.
-func (f *Follower) Status(of carawayspread.Resource) carawayspread.ResourceStatus {
-	return f.source.Status(of)
+// Status returns the version and digest of the contents held of a resource.
+func (f *Follower) Status(resource carawayspread.Resource) carawayspread.ResourceStatus {
+	return f.source.Status(resource)
 }
 
-// Learn takes what a peer hands on.
+// Learn applies the contents that a peer passed on, and reports whether any of them were newer.
 func (f *Follower) Learn(k carawayspread.Knowledge) (bool, error) { return f.source.Learn(k) }
 
-// Stale reports whether neither the store nor a peer has confirmed what this
-// process holds for too long.
+// Stale reports whether neither the store nor a peer has confirmed what this process holds for too
+// long.
 func (f *Follower) Stale() bool {
-	return f.rota.Stale(carawayspread.ResourceRoutes) || f.rota.Stale(carawayspread.ResourceEndpoints)
+	return f.election.Stale(carawayspread.ResourceRoutes) || f.election.Stale(carawayspread.ResourceEndpoints)
 }
 
-// PeerStatus returns what this process says of itself.
+// PeerStatus returns the status that this process reports to its peers.
 func (f *Follower) PeerStatus() carawayspread.PeerStatus {
-	s := carawayspread.PeerStatus{Zone: f.zone, Capacity: f.capacity, CanReadStore: f.rota.CanRead()}
-	for of := range carawayspread.ResourceCount {
-		age, ever := f.rota.Age(of)
+	s := carawayspread.PeerStatus{Zone: f.zone, Capacity: f.capacity, CanReadStore: f.election.CanRead()}
+	for resource := range carawayspread.ResourceCount {
+		age, ever := f.election.Age(resource)
 		if !ever {
 			continue
 		}
-		s.Resources[of] = f.have(of)
-		s.Resources[of].Age = age
+		s.Resources[resource] = f.heldStatus(resource)
+		s.Resources[resource].Age = age
 	}
 	return s
 }
 
-// have returns what this process holds, by the newest version known for it.
-func (f *Follower) have(of carawayspread.Resource) carawayspread.ResourceStatus {
+// heldStatus returns the status of the contents held, with the newest version known for them.
+func (f *Follower) heldStatus(resource carawayspread.Resource) carawayspread.ResourceStatus {
 	f.mu.Lock()
-	k := f.known[of]
+	k := f.known[resource]
 	f.mu.Unlock()
-	// The version is read after what proves it: a newer one is proved as well.
-	own := f.source.Status(of)
-	if k.source == own.Version {
+	// The version is read after the store time that it is reported with: a later version is as
+	// fresh at that time. The other order could report an old version with the store time of a
+	// newer one.
+	own := f.source.Status(resource)
+	if k.sourceVersion == own.Version {
 		own.Version = max(own.Version, k.version)
 	}
-	own.StoreTime = max(own.StoreTime, k.stamp)
+	own.StoreTime = max(own.StoreTime, k.storeTime)
 	return own
 }
 
-// ObservePeer takes what a peer says of itself.
+// ObservePeer processes the status that a peer reports about itself.
 //
-// A version that a peer claims is believed only for contents that are the same
-// here, and only as long as they are: a message that is forged or damaged costs a
-// call to the store, since this process reads for itself when nothing else is newer,
-// and moves nothing back.
+// The version that a peer reports is trusted only for contents that are the same here, and only as
+// long as they are. A forged or damaged message costs a call to the store, since this process reads
+// for itself if nothing else is newer, and reverts nothing.
 func (f *Follower) ObservePeer(id uint64, peer string, s carawayspread.PeerStatus) {
-	f.rota.ObservePeer(id, s)
+	f.election.ObservePeer(id, s)
 	now := f.clock.Now()
-	for of := range carawayspread.ResourceCount {
-		c := claim{of: of, peer: peer, at: now, claim: s.Resources[of]}
-		if c.claim.Version == 0 || f.agrees(c) {
+	for resource := range carawayspread.ResourceCount {
+		r := peerReport{resource: resource, peer: peer, receivedAt: now, status: s.Resources[resource]}
+		if r.status.Version == 0 || f.applyConfirmation(r) {
 			continue
 		}
-		if f.wants(c, s.Zone) {
+		if f.shouldPull(r, s.Zone) {
 			select {
-			case f.pulls[of] <- c:
-			default: // the next message says it again
+			case f.pulls[resource] <- r:
+			default: // the peer's next message repeats it
 			}
 		}
 	}
 }
 
-// agrees reports whether the peer holds what this process holds, and takes its
-// confirmation then.
-func (f *Follower) agrees(c claim) bool {
-	own := f.source.Status(c.of)
+// applyConfirmation reports whether the peer holds the same contents as this process, and if so
+// takes over its confirmation of them.
+func (f *Follower) applyConfirmation(r peerReport) bool {
+	own := f.source.Status(r.resource)
 	f.mu.Lock()
-	k := &f.known[c.of]
-	same := c.claim.Digest == own.Digest || k.alike != 0 && k.source == own.Version && c.claim.Digest == k.alike
+	k := &f.known[r.resource]
+	same := r.status.Digest == own.Digest || k.peerDigest != 0 && k.sourceVersion == own.Version && r.status.Digest == k.peerDigest
 	if same && own.Version > 0 {
-		if k.source != own.Version {
-			*k = known{source: own.Version, version: own.Version, stamp: k.stamp, stampedBy: k.stampedBy}
+		if k.sourceVersion != own.Version {
+			*k = knownVersion{sourceVersion: own.Version, version: own.Version, storeTime: k.storeTime, storeTimePeer: k.storeTimePeer}
 		}
-		k.version = max(k.version, c.claim.Version)
+		k.version = max(k.version, r.status.Version)
 	}
-	k.takeStamp(c, own)
+	k.observeStoreTime(r, own)
 	f.mu.Unlock()
 	if !same || own.Version == 0 {
 		return false
 	}
-	f.rota.Confirm(c.of, c.at.Add(-c.claim.Age))
-	f.moved(c.of)
+	f.election.Confirm(r.resource, r.receivedAt.Add(-r.status.Age))
+	f.wakeUp(r.resource)
 	return true
 }
 
-// takeStamp takes a reading of the store's clock. Versions never go back there, so what
-// this process holds includes all that was accepted up to the reading if it is no older
-// than what the peer held.
-func (k *known) takeStamp(c claim, own carawayspread.ResourceStatus) {
-	if c.of == carawayspread.ResourceRoutes && own.Version >= c.claim.Version && c.claim.StoreTime > k.stamp {
-		k.stamp, k.stampedBy = c.claim.StoreTime, c.peer
+// observeStoreTime records a peer's reading of the store's clock. Versions in the store never
+// decrease, so the contents held include all that was accepted up to the reading if their version
+// is no older than the peer's.
+func (k *knownVersion) observeStoreTime(r peerReport, own carawayspread.ResourceStatus) {
+	if r.resource == carawayspread.ResourceRoutes && own.Version >= r.status.Version && r.status.StoreTime > k.storeTime {
+		k.storeTime, k.storeTimePeer = r.status.StoreTime, r.peer
 	}
 }
 
-// wants reports whether the contents that the peer names are to be had from it. Routes
-// come from whoever has them first, as a change of them is small and the store hands
-// readers the whole. Of endpoints, which change all the time, a reader has news from the
-// store as soon, and another zone's come only where the own one falls behind.
-func (f *Follower) wants(c claim, zone string) bool {
-	have := f.have(c.of).Version
-	if c.claim.Version <= have {
+// shouldPull reports whether the contents that the peer reports are to be pulled from it. Routes
+// are pulled from whichever peer has them first, as a change of them is small, while the store
+// returns all of them to readers. Endpoints change all the time: a reader gets changes from the
+// store as soon, and they are pulled from another zone only if the own zone falls behind.
+func (f *Follower) shouldPull(r peerReport, zone string) bool {
+	held := f.heldStatus(r.resource).Version
+	if r.status.Version <= held {
 		return false
 	}
-	return f.rota.Stale(c.of) || zone == f.zone && !f.rota.IsReader() || c.of == carawayspread.ResourceRoutes && have > 0
+	return f.election.Stale(r.resource) || zone == f.zone && !f.election.IsReader() || r.resource == carawayspread.ResourceRoutes && held > 0
 }
 
-func (f *Follower) moved(of carawayspread.Resource) {
+func (f *Follower) wakeUp(resource carawayspread.Resource) {
 	select {
-	case f.heard[of] <- struct{}{}:
+	case f.wake[resource] <- struct{}{}:
 	default:
 	}
 }
 
-// RunPulls has peers hand on what they know and this process does not, until ctx
-// ends. No matter waits for another one's transfer.
-func (f *Follower) RunPulls(ctx context.Context, asker Puller) error {
+// RunPulls pulls newer contents from peers until ctx ends. No resource waits for the transfer of
+// another one.
+func (f *Follower) RunPulls(ctx context.Context, puller Puller) error {
 	var running sync.WaitGroup
-	for of := range carawayspread.ResourceCount {
-		running.Go(func() { f.runPulls(ctx, asker, of) })
+	for resource := range carawayspread.ResourceCount {
+		running.Go(func() { f.runPulls(ctx, puller, resource) })
 	}
 	running.Wait()
 	return ctx.Err()
 }
 
-func (f *Follower) runPulls(ctx context.Context, asker Puller, of carawayspread.Resource) {
+func (f *Follower) runPulls(ctx context.Context, puller Puller, resource carawayspread.Resource) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case c := <-f.pulls[of]:
-			f.pull(ctx, asker, c)
+		case r := <-f.pulls[resource]:
+			f.pull(ctx, puller, r)
 		}
 	}
 }
 
-func (f *Follower) pull(ctx context.Context, asker Puller, c claim) {
-	if f.agrees(c) || c.claim.Version <= f.have(c.of).Version {
-		return // it has come from elsewhere meanwhile
+func (f *Follower) pull(ctx context.Context, puller Puller, r peerReport) {
+	if f.applyConfirmation(r) || r.status.Version <= f.heldStatus(r.resource).Version {
+		return // meanwhile received from another source
 	}
-	if asker.Ask(ctx, c.peer, c.of) != nil {
-		return // logged by the asker; the next message says it again
+	if puller.Ask(ctx, r.peer, r.resource) != nil {
+		return // logged by the puller; the peer's next message repeats the report
 	}
-	own := f.source.Status(c.of)
-	if own.Version < c.claim.Version {
-		return // the peer handed on less than it claimed
+	own := f.source.Status(r.resource)
+	if own.Version < r.status.Version {
+		return // the peer passed on an older version than it reported
 	}
 	f.mu.Lock()
-	k := &f.known[c.of]
-	*k = known{source: own.Version, version: own.Version, alike: c.claim.Digest, stamp: k.stamp, stampedBy: k.stampedBy}
-	k.takeStamp(c, own)
+	k := &f.known[r.resource]
+	*k = knownVersion{sourceVersion: own.Version, version: own.Version, peerDigest: r.status.Digest, storeTime: k.storeTime, storeTimePeer: k.storeTimePeer}
+	k.observeStoreTime(r, own)
 	f.mu.Unlock()
-	f.rota.Confirm(c.of, c.at.Add(-c.claim.Age))
-	f.moved(c.of)
+	f.election.Confirm(r.resource, r.receivedAt.Add(-r.status.Age))
+	f.wakeUp(r.resource)
 }
 
 // RunEndpoints follows the endpoints until ctx ends.
 func (f *Follower) RunEndpoints(ctx context.Context) error {
 	return f.run(ctx, carawayspread.ResourceEndpoints, func() {
-		begun := f.clock.Now()
+		start := f.clock.Now()
 		err := f.source.Read(ctx, carawayspread.ResourceEndpoints)
-		f.called(carawayspread.ResourceEndpoints, begun, begun, err)
+		f.recordCall(carawayspread.ResourceEndpoints, start, start, err)
 	})
 }
 
 // RunRoutes follows the routes until ctx ends.
 func (f *Follower) RunRoutes(ctx context.Context) error {
 	return f.run(ctx, carawayspread.ResourceRoutes, func() {
-		begun := f.clock.Now()
-		if !f.rota.IsReader() {
-			f.called(carawayspread.ResourceRoutes, begun, begun, f.source.Read(ctx, carawayspread.ResourceRoutes))
+		start := f.clock.Now()
+		if !f.election.IsReader() {
+			f.recordCall(carawayspread.ResourceRoutes, start, start, f.source.Read(ctx, carawayspread.ResourceRoutes))
 			return
 		}
-		err := f.source.Watch(ctx, f.rota.WatchTimeout())
-		f.called(carawayspread.ResourceRoutes, begun, f.clock.Now(), err)
+		err := f.source.Watch(ctx, f.election.WatchTimeout())
+		f.recordCall(carawayspread.ResourceRoutes, start, f.clock.Now(), err)
 	})
 }
 
-// called takes note of a call, and tells the zone what it brought.
-func (f *Follower) called(of carawayspread.Resource, begun, asOf time.Time, err error) {
-	f.rota.RecordCall(of, begun, asOf, err)
+// recordCall records a call to the store, and announces its result to the zone if this process is
+// the reader.
+func (f *Follower) recordCall(resource carawayspread.Resource, start, asOf time.Time, err error) {
+	f.election.RecordCall(resource, start, asOf, err)
 	if err != nil {
 		return
 	}
-	if f.rota.IsReader() {
+	if f.election.IsReader() {
 		f.announce()
 	}
 }
 
-// run makes the call each time that it is due.
-func (f *Follower) run(ctx context.Context, of carawayspread.Resource, call func()) error {
+// run makes the call each time it is due, until ctx ends.
+func (f *Follower) run(ctx context.Context, resource carawayspread.Resource, call func()) error {
 	for ctx.Err() == nil {
-		wait := f.rota.NextCallIn(of)
+		wait := f.election.NextCallIn(resource)
 		if wait <= 0 {
 			call()
 			continue
 		}
 		select {
 		case <-ctx.Done():
-		case <-f.heard[of]:
+		case <-f.wake[resource]:
 		case <-f.clock.After(wait):
 		}
 	}
--- a/internal/process/follower/follower_test.go
+++ b/internal/process/follower/follower_test.go
@@ -17,20 +17,19 @@
 )
 
 const (
-	beat    = 500 * time.Millisecond // of peers
-	leaving = 4 * time.Second
-	inForce = 4 * time.Second
-	// late is what a message, a call and a second try may add where the bound
-	// itself is due: the store's answer and a repeat.
+	heartbeat  = 500 * time.Millisecond // interval of the peers' status messages
+	drainBound = 4 * time.Second
+	applyBound = 4 * time.Second
+	// settle is the time that a message, a call and a retry may add to a bound.
 	settle = 3 * time.Second
 )
 
 var (
-	terms    = zonereader.Bounds{Drain: leaving, ConfigApply: inForce}
+	bounds   = zonereader.Bounds{Drain: drainBound, ConfigApply: applyBound}
 	errStore = errors.New("the store does not answer")
 )
 
-// store holds a version of each matter; all nodes read it.
+// store is the platform's store, with a version of each resource. All nodes read it.
 type store struct {
 	mu      sync.Mutex
 	ver     uint64
@@ -38,53 +37,53 @@
 	down    bool
 	slow    time.Duration
 	calls   int
-	history bool // dropped: whoever watches reads whole
+	history bool // dropped: a watch reads the full contents
 	started time.Time
 }
 
-func (s *store) change(of carawayspread.Resource) {
+func (s *store) change(resource carawayspread.Resource) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ver++
-	s.at[of] = s.ver
+	s.at[resource] = s.ver
 }
 
-// live is what the store's version does all the time: endpoints show that they
-// live.
-func (s *store) live() {
+// advance raises the store's version without a change of contents, as the heartbeats of endpoints
+// do all the time.
+func (s *store) advance() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ver++
 }
 
-// node is a process: its follower, and what it holds as its Source.
+// node is a process: its follower, and the contents held as the follower's Source.
 type node struct {
-	w        *world
+	cl       *cluster
 	id       uint64
 	zone     string
-	largest  bool // of its zone
+	largest  bool // instance of its zone
 	follower *Follower
-	rota     *zonereader.Election
-	uptime   standing
+	election *zonereader.Election
+	uptime   uptimeSince
 	clock    *storetime.Clock
 
-	mu      sync.Mutex
-	have    [carawayspread.ResourceCount]carawayspread.ResourceStatus
-	away    bool          // the store turns it away
-	deaf    bool          // hears no peer
-	mute    bool          // no peer hears it
-	backs   int           // times that a version went back
-	refuses bool          // hands nothing on
-	narrow  time.Duration // that its link adds to a call to the store
+	mu           sync.Mutex
+	status       [carawayspread.ResourceCount]carawayspread.ResourceStatus
+	storeFails   bool          // the store refuses its calls
+	inboundCut   bool          // it receives no messages
+	outboundCut  bool          // its messages are lost
+	regressions  int           // number of times that it took older contents
+	refusesPulls bool          // it refuses to pass on contents
+	linkDelay    time.Duration // added to each call to the store
 }
 
-// standing is the uptime of a machine that started then.
-type standing struct{ since time.Time }
+// uptimeSince is the uptime of an instance that started at a time.
+type uptimeSince struct{ since time.Time }
 
-func (s standing) Uptime() time.Duration { return time.Since(s.since) }
+func (s uptimeSince) Uptime() time.Duration { return time.Since(s.since) }
 
-// shows returns the store's steady clock.
-func (s *store) shows() time.Duration { return time.Since(s.started) + time.Second }
+// clockReading returns the reading of the store's monotonic clock.
+func (s *store) clockReading() time.Duration { return time.Since(s.started) + time.Second }
 
 func (n *node) set(f func()) {
 	n.mu.Lock()
@@ -92,45 +91,45 @@
 	f()
 }
 
-func (n *node) reach() error {
-	s := n.w.store
+func (n *node) callStore() error {
+	s := n.cl.store
 	s.mu.Lock()
 	s.calls++
 	down, slow := s.down, s.slow
 	s.mu.Unlock()
 	n.mu.Lock()
-	away, narrow := n.away, n.narrow
+	storeFails, linkDelay := n.storeFails, n.linkDelay
 	n.mu.Unlock()
-	time.Sleep(5*time.Millisecond + slow + narrow)
-	if down || away {
+	time.Sleep(5*time.Millisecond + slow + linkDelay)
+	if down || storeFails {
 		return errStore
 	}
 	return nil
 }
 
-func (n *node) Read(_ context.Context, of carawayspread.Resource) error {
+func (n *node) Read(_ context.Context, resource carawayspread.Resource) error {
 	asked := n.uptime.Uptime()
-	if err := n.reach(); err != nil {
+	if err := n.callStore(); err != nil {
 		return err
 	}
-	s := n.w.store
+	s := n.cl.store
 	s.mu.Lock()
-	got := carawayspread.ResourceStatus{Version: s.ver, Digest: s.at[of], StoreTime: s.shows()}
-	if of == carawayspread.ResourceRoutes {
+	got := carawayspread.ResourceStatus{Version: s.ver, Digest: s.at[resource], StoreTime: s.clockReading()}
+	if resource == carawayspread.ResourceRoutes {
 		got.Version = got.Digest
 	}
 	s.mu.Unlock()
 	n.clock.Observe(asked, got.StoreTime)
-	n.take(of, got)
+	n.take(resource, got)
 	return nil
 }
 
 func (n *node) Watch(ctx context.Context, wait time.Duration) error {
 	before := n.Status(carawayspread.ResourceRoutes)
 	for end := time.Now().Add(wait); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		n.w.store.mu.Lock()
-		changed := n.w.store.at[carawayspread.ResourceRoutes] != before.Digest
-		n.w.store.mu.Unlock()
+		n.cl.store.mu.Lock()
+		changed := n.cl.store.at[carawayspread.ResourceRoutes] != before.Digest
+		n.cl.store.mu.Unlock()
 		if changed || before.Version == 0 {
 			break
 		}
@@ -138,47 +137,47 @@
 	return n.Read(ctx, carawayspread.ResourceRoutes)
 }
 
-func (n *node) take(of carawayspread.Resource, got carawayspread.ResourceStatus) bool {
+func (n *node) take(resource carawayspread.Resource, got carawayspread.ResourceStatus) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if got.Version < n.have[of].Version {
+	if got.Version < n.status[resource].Version {
 		return false
 	}
-	if got.Digest < n.have[of].Digest {
-		n.backs++
+	if got.Digest < n.status[resource].Digest {
+		n.regressions++
 	}
-	n.have[of] = got
+	n.status[resource] = got
 	return true
 }
 
-func (n *node) Status(of carawayspread.Resource) carawayspread.ResourceStatus {
+func (n *node) Status(resource carawayspread.Resource) carawayspread.ResourceStatus {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.have[of]
+	return n.status[resource]
 }
 
 func (n *node) NewerThan(_, _ uint64) carawayspread.Knowledge { return carawayspread.Knowledge{} }
 
 func (n *node) Learn(carawayspread.Knowledge) (bool, error) { return false, nil }
 
-// Ask takes what the peer of that name holds.
-func (n *node) Ask(_ context.Context, peer string, of carawayspread.Resource) error {
+// Ask takes over the contents that the named peer holds of a resource.
+func (n *node) Ask(_ context.Context, peer string, resource carawayspread.Resource) error {
 	time.Sleep(4 * time.Millisecond)
-	from := n.w.byName(peer)
+	from := n.cl.byName(peer)
 	from.mu.Lock()
-	refuses, have := from.refuses || from.mute, from.have
+	refusesPulls, held := from.refusesPulls || from.outboundCut, from.status
 	from.mu.Unlock()
-	if refuses {
+	if refusesPulls {
 		return errors.New("the peer does not answer")
 	}
-	n.take(of, have[of])
+	n.take(resource, held[resource])
 	return nil
 }
 
 func (n *node) AskTime(_ context.Context, peer string) error {
 	asked := n.uptime.Uptime()
 	time.Sleep(2 * time.Millisecond)
-	stamp, _ := n.w.byName(peer).clock.Now()
+	stamp, _ := n.cl.byName(peer).clock.Now()
 	time.Sleep(2 * time.Millisecond)
 	n.clock.Observe(asked, stamp)
 	return nil
@@ -186,55 +185,55 @@
 
 func (n *node) name() string { return fmt.Sprint(n.id) }
 
-// say tells the peers how the process stands: all, or those of its zone and the
-// largest of each other one.
-func (n *node) say(p carawayspread.PeerStatus, zone bool) {
+// broadcast sends the process's status to all peers, or to those of its zone and the largest of
+// each other zone.
+func (n *node) broadcast(p carawayspread.PeerStatus, zone bool) {
 	n.mu.Lock()
-	mute := n.mute
+	outboundCut := n.outboundCut
 	n.mu.Unlock()
-	if mute {
+	if outboundCut {
 		return
 	}
-	n.w.mu.Lock()
-	late := n.w.late
-	n.w.mu.Unlock()
-	if late > 0 {
+	n.cl.mu.Lock()
+	messageDelay := n.cl.messageDelay
+	n.cl.mu.Unlock()
+	if messageDelay > 0 {
 		go func() {
-			time.Sleep(late)
-			n.tell(p, zone)
+			time.Sleep(messageDelay)
+			n.deliver(p, zone)
 		}()
 		return
 	}
-	n.tell(p, zone)
+	n.deliver(p, zone)
 }
 
-func (n *node) tell(p carawayspread.PeerStatus, zone bool) {
-	for _, other := range n.w.nodes {
+func (n *node) deliver(p carawayspread.PeerStatus, zone bool) {
+	for _, other := range n.cl.nodes {
 		other.mu.Lock()
-		deaf := other.deaf
+		inboundCut := other.inboundCut
 		other.mu.Unlock()
-		if other != n && !deaf && (!zone || other.zone == n.zone || other.largest) {
+		if other != n && !inboundCut && (!zone || other.zone == n.zone || other.largest) {
 			other.follower.ObservePeer(n.id, n.name(), p)
 		}
 	}
 }
 
-type world struct {
+type cluster struct {
 	store *store
 	nodes []*node
 
-	mu   sync.Mutex
-	late time.Duration // messages come so late
+	mu           sync.Mutex
+	messageDelay time.Duration // of every message
 }
 
-func (w *world) set(f func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (cl *cluster) set(f func()) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 	f()
 }
 
-func (w *world) byName(name string) *node {
-	for _, n := range w.nodes {
+func (cl *cluster) byName(name string) *node {
+	for _, n := range cl.nodes {
 		if n.name() == name {
 			return n
 		}
@@ -242,311 +241,316 @@
 	return nil
 }
 
-// join returns a process that does not run yet.
-func (w *world) join(id uint64, zone string, largest bool, capacity uint32) *node {
-	n := &node{w: w, id: id, zone: zone, largest: largest}
-	n.uptime = standing{time.Now().Add(-time.Duration(id) * time.Hour)}
+// join returns a process of the cluster that is not running yet.
+func (cl *cluster) join(id uint64, zone string, largest bool, capacity uint32) *node {
+	n := &node{cl: cl, id: id, zone: zone, largest: largest}
+	n.uptime = uptimeSince{time.Now().Add(-time.Duration(id) * time.Hour)}
 	n.clock = storetime.New(n.uptime)
-	n.rota = zonereader.New(id, zone, capacity, terms, carawayspread.SystemClock())
-	n.follower = New(n, n.rota, zone, capacity, func() { n.say(n.follower.PeerStatus(), true) }, carawayspread.SystemClock(), n.clock)
+	n.election = zonereader.New(id, zone, capacity, bounds, carawayspread.SystemClock())
+	n.follower = New(n, n.election, zone, capacity, func() { n.broadcast(n.follower.PeerStatus(), true) }, carawayspread.SystemClock(), n.clock)
 	return n
 }
 
-// newWorld starts processes, some in each zone. The first of a zone is the
-// largest.
-func newWorld(ctx context.Context, zones, each int, keyed bool) *world {
-	w := &world{store: &store{started: time.Now(), ver: 1, at: [carawayspread.ResourceCount]uint64{1, 1}}}
+// newCluster starts a number of processes in each zone. The first of a zone is the largest.
+func newCluster(ctx context.Context, zones, each int, withStoreClock bool) *cluster {
+	cl := &cluster{store: &store{started: time.Now(), ver: 1, at: [carawayspread.ResourceCount]uint64{1, 1}}}
 	for zone := range zones {
 		for i := range each {
-			n := w.join(uint64(zone*each+i+1), fmt.Sprint("z", zone), i == 0, uint32(each-i))
-			w.nodes = append(w.nodes, n)
+			n := cl.join(uint64(zone*each+i+1), fmt.Sprint("z", zone), i == 0, uint32(each-i))
+			cl.nodes = append(cl.nodes, n)
 		}
 	}
-	for _, n := range w.nodes {
+	for _, n := range cl.nodes {
 		go func() { _ = n.follower.RunEndpoints(ctx) }()
 		go func() { _ = n.follower.RunRoutes(ctx) }()
 		go func() { _ = n.follower.RunPulls(ctx, n) }()
-		if keyed {
+		if withStoreClock {
 			go func() { _ = n.follower.RunStoreClock(ctx, n) }()
 		}
 		go func() {
 			for ctx.Err() == nil {
-				n.say(n.follower.PeerStatus(), false)
-				time.Sleep(beat)
+				n.broadcast(n.follower.PeerStatus(), false)
+				time.Sleep(heartbeat)
 			}
 		}()
 	}
 	go func() {
 		for ctx.Err() == nil {
-			w.store.live()
+			cl.store.advance()
 			time.Sleep(10 * time.Millisecond)
 		}
 	}()
-	return w
+	return cl
 }
 
-// calls returns the calls to the store in the time.
-func (w *world) calls(d time.Duration) int {
-	w.store.mu.Lock()
-	before := w.store.calls
-	w.store.mu.Unlock()
+// calls returns the number of calls to the store within the time.
+func (cl *cluster) calls(d time.Duration) int {
+	cl.store.mu.Lock()
+	before := cl.store.calls
+	cl.store.mu.Unlock()
 	time.Sleep(d)
-	w.store.mu.Lock()
-	defer w.store.mu.Unlock()
-	return w.store.calls - before
+	cl.store.mu.Lock()
+	defer cl.store.mu.Unlock()
+	return cl.store.calls - before
 }
 
-// lacks returns the processes that do not hold the newest of a matter.
-func (w *world) lacks(of carawayspread.Resource) []string {
-	w.store.mu.Lock()
-	newest := w.store.at[of]
-	w.store.mu.Unlock()
+// outdated returns the processes that do not hold the newest contents of a resource.
+func (cl *cluster) outdated(resource carawayspread.Resource) []string {
+	cl.store.mu.Lock()
+	newest := cl.store.at[resource]
+	cl.store.mu.Unlock()
 	var names []string
-	for _, n := range w.nodes {
-		if n.Status(of).Digest != newest {
+	for _, n := range cl.nodes {
+		if n.Status(resource).Digest != newest {
 			names = append(names, n.name())
 		}
 	}
 	return names
 }
 
-// play starts a world, lets processes find each other, and ends it.
-func play(t *testing.T, zones, each int, f func(w *world)) {
-	playWorld(t, zones, each, false, f)
+// runCluster starts a cluster, lets the processes discover each other, runs f and stops it.
+func runCluster(t *testing.T, zones, each int, f func(cl *cluster)) {
+	simulate(t, zones, each, false, f)
 }
 
-// playKeyed plays a world whose processes need to know the store's clock.
-func playKeyed(t *testing.T, zones, each int, f func(w *world)) {
-	playWorld(t, zones, each, true, f)
+// runClusterWithStoreClock is runCluster with processes that need to know the store's clock.
+func runClusterWithStoreClock(t *testing.T, zones, each int, f func(cl *cluster)) {
+	simulate(t, zones, each, true, f)
 }
 
-func playWorld(t *testing.T, zones, each int, keyed bool, f func(w *world)) {
+func simulate(t *testing.T, zones, each int, withStoreClock bool, f func(cl *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := newWorld(ctx, zones, each, keyed)
+		cl := newCluster(ctx, zones, each, withStoreClock)
 		time.Sleep(settle)
-		f(w)
-		for _, n := range w.nodes {
-			n.set(func() { qt.Check(t, n.backs, qt.Equals, 0, qt.Commentf("process %s went back", n.name())) })
+		f(cl)
+		for _, n := range cl.nodes {
+			n.set(func() {
+				qt.Check(t, n.regressions, qt.Equals, 0, qt.Commentf("process %s reverted to an older version", n.name()))
+			})
 		}
 		cancel()
 		time.Sleep(5 * time.Second)
 	})
 }
 
-// The store is asked as often by a hundred and twenty processes as by thirty: one of each
-// zone reads, and the others hear from it.
-func TestCallsGrowWithZonesAlone(t *testing.T) {
+// Guards against calls to the store that grow with the number of processes: a hundred and twenty
+// make as many as thirty, since one process of each zone reads and the others learn from it.
+func TestStoreCallsGrowWithZonesOnly(t *testing.T) {
 	var calls []int
 	for _, each := range []int{6, 24} {
-		play(t, 5, each, func(w *world) { calls = append(calls, w.calls(20*time.Second)) })
+		runCluster(t, 5, each, func(cl *cluster) { calls = append(calls, cl.calls(20*time.Second)) })
 	}
 	t.Logf("%d and %d calls in 20 s", calls[0], calls[1])
 	qt.Check(t, calls[1] <= calls[0]*3/2, qt.IsTrue, qt.Commentf("%v", calls))
-	// Five zones, each with a wait of two seconds, that take turns with a list a second,
-	// and one call in three beside.
+	// Five zones with a watch of two seconds each, which take turns with a read of the endpoints
+	// each second, and one additional call in three.
 	qt.Check(t, calls[1] <= (5*10+20)*4/3, qt.IsTrue, qt.Commentf("%v", calls))
 }
 
-// Nobody sends to an endpoint that has left, or by a route that is replaced, for
-// longer than is promised, whatever happens to those that read. Each row strikes
-// the readers, or all, a moment before both matters change.
-func TestChangesArriveThoughReadersFail(t *testing.T) {
-	readersOf := func(w *world) []*node {
-		var of []*node
-		for _, n := range w.nodes {
-			if n.rota.IsReader() {
-				of = append(of, n)
+// Guards against requests that go to a departed endpoint, or by a replaced route, for longer than
+// is guaranteed, since the processes that read the store have failed. Each case injects a fault
+// into the readers, or all processes, just before both resources change.
+func TestChangesPropagateDespiteReaderFailures(t *testing.T) {
+	currentReaders := func(cl *cluster) []*node {
+		var readers []*node
+		for _, n := range cl.nodes {
+			if n.election.IsReader() {
+				readers = append(readers, n)
 			}
 		}
-		return of
+		return readers
 	}
-	for name, strike := range map[string]func(w *world){
-		"nothing": func(*world) {},
-		"a reader is killed or frozen": func(w *world) {
-			r := readersOf(w)[0]
-			r.set(func() { r.mute, r.deaf, r.away = true, true, true })
+	for name, injectFault := range map[string]func(cl *cluster){
+		"nothing": func(*cluster) {},
+		"a reader is killed or frozen": func(cl *cluster) {
+			r := currentReaders(cl)[0]
+			r.set(func() { r.outboundCut, r.inboundCut, r.storeFails = true, true, true })
 		},
-		"all readers are killed at once": func(w *world) {
-			for _, r := range readersOf(w) {
-				r.set(func() { r.mute, r.deaf, r.away = true, true, true })
+		"all readers are killed at once": func(cl *cluster) {
+			for _, r := range currentReaders(cl) {
+				r.set(func() { r.outboundCut, r.inboundCut, r.storeFails = true, true, true })
 			}
 		},
-		"the store turns a reader away": func(w *world) {
-			r := readersOf(w)[0]
-			r.set(func() { r.away = true })
+		"the store refuses a reader": func(cl *cluster) {
+			r := currentReaders(cl)[0]
+			r.set(func() { r.storeFails = true })
 		},
-		"the store turns all readers away": func(w *world) {
-			for _, r := range readersOf(w) {
-				r.set(func() { r.away = true })
+		"the store refuses all readers": func(cl *cluster) {
+			for _, r := range currentReaders(cl) {
+				r.set(func() { r.storeFails = true })
 			}
 		},
-		"the store turns all but the smallest away": func(w *world) {
-			for _, n := range w.nodes[:len(w.nodes)-1] {
-				n.set(func() { n.away = true })
+		"the store refuses all but the smallest": func(cl *cluster) {
+			for _, n := range cl.nodes[:len(cl.nodes)-1] {
+				n.set(func() { n.storeFails = true })
 			}
 		},
-		"a reader is not heard": func(w *world) {
-			r := readersOf(w)[0]
-			r.set(func() { r.mute = true })
+		"messages of a reader are lost": func(cl *cluster) {
+			r := currentReaders(cl)[0]
+			r.set(func() { r.outboundCut = true })
 		},
-		"a reader hears nobody": func(w *world) {
-			r := readersOf(w)[0]
-			r.set(func() { r.deaf = true })
+		"a reader receives no messages": func(cl *cluster) {
+			r := currentReaders(cl)[0]
+			r.set(func() { r.inboundCut = true })
 		},
-		"readers hand nothing on": func(w *world) {
-			for _, r := range readersOf(w) {
-				r.set(func() { r.refuses = true })
+		"readers refuse pulls": func(cl *cluster) {
+			for _, r := range currentReaders(cl) {
+				r.set(func() { r.refusesPulls = true })
 			}
 		},
-		"nobody hears anybody": func(w *world) {
-			for _, n := range w.nodes {
-				n.set(func() { n.deaf = true })
+		"all messages are lost": func(cl *cluster) {
+			for _, n := range cl.nodes {
+				n.set(func() { n.inboundCut = true })
 			}
 		},
-		"the store is slow": func(w *world) {
-			w.store.mu.Lock()
-			defer w.store.mu.Unlock()
-			w.store.slow = 200 * time.Millisecond
+		"the store is slow": func(cl *cluster) {
+			cl.store.mu.Lock()
+			defer cl.store.mu.Unlock()
+			cl.store.slow = 200 * time.Millisecond
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, 3, 6, func(w *world) {
-				strike(w)
+			runCluster(t, 3, 6, func(cl *cluster) {
+				injectFault(cl)
 				time.Sleep(100 * time.Millisecond)
-				w.store.change(carawayspread.ResourceEndpoints)
-				w.store.change(carawayspread.ResourceRoutes)
-				time.Sleep(leaving - 100*time.Millisecond)
+				cl.store.change(carawayspread.ResourceEndpoints)
+				cl.store.change(carawayspread.ResourceRoutes)
+				time.Sleep(drainBound - 100*time.Millisecond)
 				var dead []string
-				for _, n := range w.nodes {
+				for _, n := range cl.nodes {
 					n.set(func() {
-						if n.away && n.deaf && n.mute {
+						if n.storeFails && n.inboundCut && n.outboundCut {
 							dead = append(dead, n.name())
 						}
 					})
 				}
-				for of := range carawayspread.ResourceCount {
-					qt.Check(t, w.lacks(of), qt.DeepEquals, dead, qt.Commentf("%v", of))
+				for resource := range carawayspread.ResourceCount {
+					qt.Check(t, cl.outdated(resource), qt.DeepEquals, dead, qt.Commentf("%v", resource))
 				}
 			})
 		})
 	}
 }
 
-// A reader that dies is replaced: the others of its zone go on hearing from one.
-func TestDeadReaderIsReplaced(t *testing.T) {
-	play(t, 1, 40, func(w *world) {
-		w.nodes[0].set(func() { w.nodes[0].mute, w.nodes[0].deaf, w.nodes[0].away = true, true, true })
+// Guards against a zone without a reader after its reader fails: another one replaces it, and the
+// rest do not start to read for themselves.
+func TestFailedReaderIsReplaced(t *testing.T) {
+	runCluster(t, 1, 40, func(cl *cluster) {
+		cl.nodes[0].set(func() { cl.nodes[0].outboundCut, cl.nodes[0].inboundCut, cl.nodes[0].storeFails = true, true, true })
 		time.Sleep(settle)
-		calls := w.calls(20 * time.Second)
+		calls := cl.calls(20 * time.Second)
 		t.Logf("%d calls in 20 s", calls)
-		// One reader with a list a second and a wait of two seconds, and what the
-		// dead one tries: every second for each matter.
+		// One reader with a read of the endpoints each second and a watch of two seconds, and the
+		// attempts of the failed one: one each second for each resource.
 		qt.Check(t, calls <= (20+10+2*20)*11/10, qt.IsTrue, qt.Commentf("%d", calls))
 	})
 }
 
-// The store that comes back is not met by a stampede, and all hold the newest soon:
-// while it is away each zone tries it ten times a second for each matter at the
-// most, whatever its size.
-func TestOutage(t *testing.T) {
-	play(t, 3, 40, func(w *world) {
-		w.store.mu.Lock()
-		w.store.down = true
-		w.store.mu.Unlock()
+// Guards against a thundering herd when the store recovers: during the outage each zone makes at
+// most ten attempts a second for each resource, whatever its size. All processes hold the newest
+// contents soon after.
+func TestStoreOutage(t *testing.T) {
+	runCluster(t, 3, 40, func(cl *cluster) {
+		cl.store.mu.Lock()
+		cl.store.down = true
+		cl.store.mu.Unlock()
 		time.Sleep(settle)
-		calls := w.calls(10 * time.Second)
+		calls := cl.calls(10 * time.Second)
 		t.Logf("%d calls in 10 s of an outage", calls)
 		qt.Check(t, calls <= 3*2*10*10*11/10, qt.IsTrue, qt.Commentf("%d", calls))
-		w.store.change(carawayspread.ResourceEndpoints)
-		w.store.change(carawayspread.ResourceRoutes)
-		w.store.mu.Lock()
-		w.store.down = false
-		w.store.mu.Unlock()
+		cl.store.change(carawayspread.ResourceEndpoints)
+		cl.store.change(carawayspread.ResourceRoutes)
+		cl.store.mu.Lock()
+		cl.store.down = false
+		cl.store.mu.Unlock()
 		time.Sleep(2 * time.Second)
-		for of := range carawayspread.ResourceCount {
-			qt.Check(t, w.lacks(of), qt.HasLen, 0)
+		for resource := range carawayspread.ResourceCount {
+			qt.Check(t, cl.outdated(resource), qt.HasLen, 0)
 		}
-		time.Sleep(2 * settle) // those that failed last leave reading to others for five seconds
-		calls = w.calls(10 * time.Second)
+		time.Sleep(2 * settle) // processes whose last call failed do not read for five seconds
+		calls = cl.calls(10 * time.Second)
 		qt.Check(t, calls <= 3*(10+5)*11/10, qt.IsTrue, qt.Commentf("%d", calls))
 	})
 }
 
-// A process that was suspended says, as it wakes, that it has just read what is old
-// by now: its clock stood still. Nobody goes back to it, and it counts as a
-// confirmation for nobody who knows better.
-func TestSuspendedReaderMovesNothingBack(t *testing.T) {
-	play(t, 2, 4, func(w *world) {
-		reader := w.nodes[0]
+// Guards against a resumed process that spreads old contents. Its clock did not advance while it
+// was suspended, so it reports as just read what is old by now. Nobody reverts to these contents,
+// and the report confirms nothing for a process that holds newer ones.
+func TestSuspendedReaderRevertsNothing(t *testing.T) {
+	runCluster(t, 2, 4, func(cl *cluster) {
+		reader := cl.nodes[0]
 		before := reader.follower.PeerStatus()
 		old := reader.Status(carawayspread.ResourceEndpoints)
-		reader.set(func() { reader.mute, reader.deaf, reader.away = true, true, true })
+		reader.set(func() { reader.outboundCut, reader.inboundCut, reader.storeFails = true, true, true })
 		time.Sleep(settle)
-		w.store.change(carawayspread.ResourceEndpoints)
-		time.Sleep(leaving)
-		reader.set(func() { reader.mute, reader.deaf, reader.have[carawayspread.ResourceEndpoints] = false, false, old })
-		reader.say(before, false)
-		time.Sleep(leaving)
-		qt.Check(t, w.lacks(carawayspread.ResourceEndpoints), qt.HasLen, 0)
+		cl.store.change(carawayspread.ResourceEndpoints)
+		time.Sleep(drainBound)
+		reader.set(func() {
+			reader.outboundCut, reader.inboundCut, reader.status[carawayspread.ResourceEndpoints] = false, false, old
+		})
+		reader.broadcast(before, false)
+		time.Sleep(drainBound)
+		qt.Check(t, cl.outdated(carawayspread.ResourceEndpoints), qt.HasLen, 0)
 	})
 }
 
-// A message that claims a version which the store has not reached stops nobody from
-// learning what changes, though it goes on for ever, names a reader that is none,
-// and nothing true is heard beside it: it confirms nothing that is held here.
-func TestForgedVersionBlocksNothing(t *testing.T) {
-	play(t, 2, 4, func(w *world) {
-		w.store.change(carawayspread.ResourceEndpoints)
-		w.store.change(carawayspread.ResourceRoutes)
-		for end := time.Now().Add(leaving); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-			for _, n := range w.nodes {
-				n.set(func() { n.deaf = true })
+// Guards against a forged version that the store has not reached and that keeps processes from
+// learning changes. The messages repeat without end, name a reader that does not exist, and no
+// genuine message arrives beside them. They confirm nothing, since their contents are not held.
+func TestForgedVersionBlocksNoUpdate(t *testing.T) {
+	runCluster(t, 2, 4, func(cl *cluster) {
+		cl.store.change(carawayspread.ResourceEndpoints)
+		cl.store.change(carawayspread.ResourceRoutes)
+		for end := time.Now().Add(drainBound); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+			for _, n := range cl.nodes {
+				n.set(func() { n.inboundCut = true })
 				forged := carawayspread.PeerStatus{Zone: n.zone, CanReadStore: true, Capacity: 1 << 31}
-				for of := range carawayspread.ResourceCount {
-					forged.Resources[of] = carawayspread.ResourceStatus{Version: 1 << 60, Digest: 99}
+				for resource := range carawayspread.ResourceCount {
+					forged.Resources[resource] = carawayspread.ResourceStatus{Version: 1 << 60, Digest: 99}
 				}
-				n.follower.ObservePeer(77, w.nodes[1].name(), forged)
+				n.follower.ObservePeer(77, cl.nodes[1].name(), forged)
 			}
 		}
-		for of := range carawayspread.ResourceCount {
-			qt.Check(t, w.lacks(of), qt.HasLen, 0)
+		for resource := range carawayspread.ResourceCount {
+			qt.Check(t, cl.outdated(resource), qt.HasLen, 0)
 		}
 	})
 }
 
-// One such message for what all hold costs calls to the store, and hides no change.
-func TestForgedVersionOfWhatAllHold(t *testing.T) {
-	play(t, 2, 4, func(w *world) {
-		for _, n := range w.nodes {
+// Guards against a forged version for contents that all processes hold: it costs calls to the store
+// but hides no change.
+func TestForgedVersionOfHeldContents(t *testing.T) {
+	runCluster(t, 2, 4, func(cl *cluster) {
+		for _, n := range cl.nodes {
 			forged := carawayspread.PeerStatus{Zone: n.zone}
-			for of := range carawayspread.ResourceCount {
-				forged.Resources[of] = carawayspread.ResourceStatus{Version: 1 << 60, Digest: n.Status(of).Digest}
+			for resource := range carawayspread.ResourceCount {
+				forged.Resources[resource] = carawayspread.ResourceStatus{Version: 1 << 60, Digest: n.Status(resource).Digest}
 			}
-			n.follower.ObservePeer(77, w.nodes[1].name(), forged)
+			n.follower.ObservePeer(77, cl.nodes[1].name(), forged)
 		}
-		w.store.change(carawayspread.ResourceEndpoints)
-		w.store.change(carawayspread.ResourceRoutes)
-		time.Sleep(leaving)
-		for of := range carawayspread.ResourceCount {
-			qt.Check(t, w.lacks(of), qt.HasLen, 0)
+		cl.store.change(carawayspread.ResourceEndpoints)
+		cl.store.change(carawayspread.ResourceRoutes)
+		time.Sleep(drainBound)
+		for resource := range carawayspread.ResourceCount {
+			qt.Check(t, cl.outdated(resource), qt.HasLen, 0)
 		}
 	})
 }
 
-// Guards against a change that is late in a zone of small instances alone, to which the
-// store hands a large configuration for longer than is promised: who has the change in
-// another zone hands on what it changes.
-func TestChangeComesFromAnotherZone(t *testing.T) {
-	play(t, 3, 4, func(w *world) {
-		for _, n := range w.nodes {
+// Guards against a change that is late in a zone of small instances only, for which the transfer of
+// a large configuration from the store takes longer than the guaranteed time: processes of other
+// zones that have the change pass it on.
+func TestChangeIsPulledFromAnotherZone(t *testing.T) {
+	runCluster(t, 3, 4, func(cl *cluster) {
+		for _, n := range cl.nodes {
 			if n.zone == "z1" {
-				n.set(func() { n.narrow = inForce })
+				n.set(func() { n.linkDelay = applyBound })
 			}
 		}
-		time.Sleep(3 * inForce)
-		w.store.change(carawayspread.ResourceRoutes)
-		time.Sleep(inForce / 2)
-		qt.Check(t, w.lacks(carawayspread.ResourceRoutes), qt.HasLen, 0)
+		time.Sleep(3 * applyBound)
+		cl.store.change(carawayspread.ResourceRoutes)
+		time.Sleep(applyBound / 2)
+		qt.Check(t, cl.outdated(carawayspread.ResourceRoutes), qt.HasLen, 0)
 	})
 }
--- a/internal/process/follower/freshness.go
+++ b/internal/process/follower/freshness.go
@@ -9,99 +9,101 @@
 )
 
 const (
-	// refreshSpacing is the least time between two questions of one process to the
-	// store, so that callers who guess keys cannot drive its calls.
+	// refreshSpacing is the minimum time between two refreshes from the store by one process, so
+	// that callers who guess keys cannot raise the number of calls to the store.
 	refreshSpacing = time.Second
-	// driftLimit is how far the bound on the store's clock may widen before it is
-	// read anew.
+	// driftLimit is how far the bound on the store's clock may widen before the clock is read
+	// again.
 	driftLimit = 300 * time.Millisecond
-	// driftCheckEvery is the time between two looks at it.
+	// driftCheckEvery is the interval at which the width of the bound is checked.
 	driftCheckEvery = time.Second
 )
 
-// StoreClock bounds the store's steady clock.
+// StoreClock bounds the store's monotonic clock.
 type StoreClock interface {
-	// Now returns the latest that the clock may show; false where that is not known.
+	// Now returns the latest possible reading of the clock; false if it is unknown.
 	Now() (time.Duration, bool)
-	// Age returns the longest time that may have passed since the clock showed the
-	// stamp; false where that cannot be said.
-	Age(stamp time.Duration) (time.Duration, bool)
-	// DriftAllowance returns how far the bound has widened since the last good reading; false
-	// where there was none.
+	// Age returns the longest time that may have passed since the clock showed storeTime; false if
+	// it is unknown.
+	Age(storeTime time.Duration) (time.Duration, bool)
+	// DriftAllowance returns how far the bound has widened since the last usable reading; false if
+	// there was none.
 	DriftAllowance() (time.Duration, bool)
 }
 
 var _ carawayspread.ConfigFreshness = (*Follower)(nil)
 
-// Age implements carawayspread.ConfigFreshness for routes and keys.
+// Age implements carawayspread.ConfigFreshness for routes and API keys.
 func (f *Follower) Age() (time.Duration, bool) {
-	return f.store.Age(f.have(carawayspread.ResourceRoutes).StoreTime)
+	return f.store.Age(f.heldStatus(carawayspread.ResourceRoutes).StoreTime)
 }
 
-// RunStoreClock keeps the store's clock known until ctx ends: by the peer that reads the
-// store, or by a call where that does not help. Processes that learn all from peers
-// make no call of their own for long.
-func (f *Follower) RunStoreClock(ctx context.Context, asker Puller) error {
+// RunStoreClock keeps the bound on the store's clock narrow until ctx ends, by asking the peer
+// whose store time is in use, or by a call to the store if that does not help. Processes that get
+// everything from peers make no call to the store themselves for long.
+func (f *Follower) RunStoreClock(ctx context.Context, puller Puller) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-f.clock.After(driftCheckEvery):
 		}
-		if f.boundsStore() {
+		if f.storeClockBounded() {
 			continue
 		}
 		f.mu.Lock()
-		stampedBy := f.known[carawayspread.ResourceRoutes].stampedBy
+		storeTimePeer := f.known[carawayspread.ResourceRoutes].storeTimePeer
 		f.mu.Unlock()
-		if stampedBy != "" {
-			_ = asker.AskTime(ctx, stampedBy) // the store is asked next
+		if storeTimePeer != "" {
+			_ = puller.AskTime(ctx, storeTimePeer) // on failure, the store is called below
 		}
-		if !f.boundsStore() {
-			_ = f.Refresh(ctx) // the source logs that the store does not answer
+		if !f.storeClockBounded() {
+			_ = f.Refresh(ctx) // the source logs failed calls
 		}
 	}
 }
 
 // boundsStore reports whether the store's clock is bounded closely enough.
-func (f *Follower) boundsStore() bool {
-	slack, known := f.store.DriftAllowance()
-	return known && slack <= driftLimit
+func (f *Follower) storeClockBounded() bool {
+	drift, known := f.store.DriftAllowance()
+	return known && drift <= driftLimit
 }
 
-// refresh has the store asked once for all who wait for the same answer.
+// refresh shares one call to the store among all callers of Refresh that wait for the same result.
 type refresh struct {
-	mu      sync.Mutex
-	begun   int       // questions
-	ended   int       // of them
-	last    time.Time // when the newest began
-	err     error     // of the newest that has ended
-	waiting chan struct{}
+	mu       sync.Mutex
+	started  int       // number of calls started
+	finished int       // number of them finished
+	last     time.Time // start of the latest call
+	err      error     // of the latest call that has finished
+	done     chan struct{}
 }
 
-// Refresh asks the store whether there are newer routes, and takes them. The question
-// is asked after the call to Refresh: one that was under way says nothing of what was
-// accepted since. Where the store did not answer a moment ago, none is asked.
+// Refresh reads newer routes from the store, if there are any. The store is called after Refresh
+// was entered: a call that was under way before does not cover changes accepted since.
+//
+// It returns ErrUnavailable without a call if a recent call to the store has failed or this process
+// is shutting down, and ErrTooSoon if the last refresh started less than refreshSpacing ago.
 func (f *Follower) Refresh(ctx context.Context) error {
-	if !f.rota.CanRead() {
+	if !f.election.CanRead() {
 		return carawayspread.ErrUnavailable
 	}
 	r := &f.refresh
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for need := r.begun + 1; r.ended < need; {
-		if r.begun == r.ended {
+	for need := r.started + 1; r.finished < need; {
+		if r.started == r.finished {
 			if !r.last.IsZero() && f.clock.Now().Sub(r.last) < refreshSpacing {
 				return carawayspread.ErrTooSoon
 			}
-			r.begun++
-			r.last, r.waiting = f.clock.Now(), make(chan struct{})
-			go f.ask(context.WithoutCancel(ctx))
+			r.started++
+			r.last, r.done = f.clock.Now(), make(chan struct{})
+			go f.callStore(context.WithoutCancel(ctx))
 		}
-		waiting := r.waiting
+		done := r.done
 		r.mu.Unlock()
 		select {
-		case <-waiting:
+		case <-done:
 			r.mu.Lock()
 		case <-ctx.Done():
 			r.mu.Lock()
@@ -111,13 +113,13 @@
 	return r.err
 }
 
-func (f *Follower) ask(ctx context.Context) {
-	begun := f.clock.Now()
+func (f *Follower) callStore(ctx context.Context) {
+	start := f.clock.Now()
 	err := f.source.Watch(ctx, 0)
-	f.called(carawayspread.ResourceRoutes, begun, begun, err)
+	f.recordCall(carawayspread.ResourceRoutes, start, start, err)
 	r := &f.refresh
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ended, r.err = r.ended+1, err
-	close(r.waiting)
+	r.finished, r.err = r.finished+1, err
+	close(r.done)
 }
--- a/internal/process/follower/freshness_test.go
+++ b/internal/process/follower/freshness_test.go
@@ -14,7 +14,7 @@
 	"carawayspread"
 )
 
-// changes notes when routes changed.
+// changes records when the routes changed.
 type changes struct {
 	mu sync.Mutex
 	at map[uint64]time.Time // by digest
@@ -29,7 +29,7 @@
 	c.at[s.at[carawayspread.ResourceRoutes]] = time.Now()
 }
 
-// missed returns a change that the process's evidence covers and that it does not hold.
+// missed returns a change that the process does not hold although its freshness covers it.
 func (c *changes) missed(n *node) (uint64, bool) {
 	age, known := n.follower.Age()
 	if !known {
@@ -46,39 +46,40 @@
 	return 0, false
 }
 
-// Guards against a revoked key that still passes: no process's evidence covers a change
-// that it does not hold, however late messages come and whoever is cut off.
-func TestEvidenceNeverCoversWhatIsNotHeld(t *testing.T) {
-	for name, strike := range map[string]func(w *world){
-		"nothing":                    func(*world) {},
-		"messages come seconds late": func(w *world) { w.set(func() { w.late = 3 * time.Second }) },
-		"a zone is cut from the store": func(w *world) {
-			for _, n := range w.nodes {
+// Guards against a revoked API key that is still accepted: no process reports a freshness that
+// covers a change which it does not hold, however late messages are and whichever processes are cut
+// off.
+func TestFreshnessNeverCoversMissedChange(t *testing.T) {
+	for name, injectFault := range map[string]func(cl *cluster){
+		"nothing":                   func(*cluster) {},
+		"messages are seconds late": func(cl *cluster) { cl.set(func() { cl.messageDelay = 3 * time.Second }) },
+		"the store refuses a zone": func(cl *cluster) {
+			for _, n := range cl.nodes {
 				if n.zone == "z1" {
-					n.set(func() { n.away = true })
+					n.set(func() { n.storeFails = true })
 				}
 			}
 		},
-		"the store is slow": func(w *world) { w.store.mu.Lock(); w.store.slow = 900 * time.Millisecond; w.store.mu.Unlock() },
-		"the store is down": func(w *world) { w.store.mu.Lock(); w.store.down = true; w.store.mu.Unlock() },
-		"nobody hears anybody": func(w *world) {
-			for _, n := range w.nodes {
-				n.set(func() { n.deaf = true })
+		"the store is slow": func(cl *cluster) { cl.store.mu.Lock(); cl.store.slow = 900 * time.Millisecond; cl.store.mu.Unlock() },
+		"the store is down": func(cl *cluster) { cl.store.mu.Lock(); cl.store.down = true; cl.store.mu.Unlock() },
+		"all messages are lost": func(cl *cluster) {
+			for _, n := range cl.nodes {
+				n.set(func() { n.inboundCut = true })
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			playKeyed(t, 3, 3, func(w *world) {
+			runClusterWithStoreClock(t, 3, 3, func(cl *cluster) {
 				c := &changes{at: map[uint64]time.Time{}}
-				strike(w)
+				injectFault(cl)
 				for step := range 200 {
 					if step%7 == 0 {
-						c.change(w.store)
+						c.change(cl.store)
 					}
 					time.Sleep(50 * time.Millisecond)
-					for _, n := range w.nodes {
+					for _, n := range cl.nodes {
 						if digest, bad := c.missed(n); bad {
-							t.Fatalf("process %s holds %d, its evidence covers %d", n.name(), n.Status(carawayspread.ResourceRoutes).Digest, digest)
+							t.Fatalf("process %s holds %d, its freshness covers %d", n.name(), n.Status(carawayspread.ResourceRoutes).Digest, digest)
 						}
 					}
 				}
@@ -87,42 +88,42 @@
 	}
 }
 
-// Guards against requests that are refused for want of evidence while peers have it:
-// a zone that the store turns away stays proven by the others.
-func TestEvidenceTravelsThroughPeers(t *testing.T) {
-	playKeyed(t, 3, 3, func(w *world) {
-		for _, n := range w.nodes {
+// Guards against requests that are refused for stale configuration while peers hold a fresh one: a
+// zone whose calls the store refuses stays fresh through the others.
+func TestFreshnessPropagatesThroughPeers(t *testing.T) {
+	runClusterWithStoreClock(t, 3, 3, func(cl *cluster) {
+		for _, n := range cl.nodes {
 			if n.zone == "z1" {
-				n.set(func() { n.away = true })
+				n.set(func() { n.storeFails = true })
 			}
 		}
 		time.Sleep(20 * time.Second)
-		for _, n := range w.nodes {
+		for _, n := range cl.nodes {
 			age, known := n.follower.Age()
-			qt.Check(t, known && age < inForce, qt.IsTrue, qt.Commentf("process %s: %v %v", n.name(), age, known))
+			qt.Check(t, known && age < applyBound, qt.IsTrue, qt.Commentf("process %s: %v %v", n.name(), age, known))
 		}
 	})
 }
 
-// Guards against evidence that stays young while its process is cut off from all.
-func TestEvidenceAgesWhereNothingIsHeard(t *testing.T) {
-	playKeyed(t, 3, 3, func(w *world) {
-		n := w.nodes[0]
-		n.set(func() { n.away, n.deaf = true, true })
+// Guards against an age that stays low while the process is isolated from the store and all peers.
+func TestFreshnessAgesWhenIsolated(t *testing.T) {
+	runClusterWithStoreClock(t, 3, 3, func(cl *cluster) {
+		n := cl.nodes[0]
+		n.set(func() { n.storeFails, n.inboundCut = true, true })
 		time.Sleep(10 * time.Second)
 		age, known := n.follower.Age()
 		qt.Check(t, known && age > 8*time.Second, qt.IsTrue, qt.Commentf("%v", age))
 	})
 }
 
-// Guards against callers who guess keys and so drive calls to the store: a process asks
-// once a second, and those who wait for the same answer share a call.
-func TestRefreshIsBoundedAndShared(t *testing.T) {
+// Guards against callers who raise the number of calls to the store by guessing keys: a process
+// makes one call a second, shared by all that wait for the same result.
+func TestRefreshIsRateLimitedAndShared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		w := &world{store: &store{started: time.Now(), ver: 1, at: [carawayspread.ResourceCount]uint64{1, 1}}}
-		n := w.join(1, "z", true, 1)
+		cl := &cluster{store: &store{started: time.Now(), ver: 1, at: [carawayspread.ResourceCount]uint64{1, 1}}}
+		n := cl.join(1, "z", true, 1)
 		results := make(chan error, 100)
 		for range cap(results) {
 			go func() { results <- n.follower.Refresh(ctx) }()
@@ -131,31 +132,31 @@
 		for range cap(results) {
 			counts[fmt.Sprint(<-results)]++
 		}
-		qt.Check(t, w.store.calls, qt.Equals, 1, qt.Commentf("%v", counts))
+		qt.Check(t, cl.store.calls, qt.Equals, 1, qt.Commentf("%v", counts))
 		qt.Check(t, errors.Is(n.follower.Refresh(ctx), carawayspread.ErrTooSoon), qt.IsTrue)
 		time.Sleep(refreshSpacing)
 		qt.Check(t, n.follower.Refresh(ctx), qt.IsNil)
-		qt.Check(t, w.store.calls, qt.Equals, 2)
-		n.set(func() { n.away = true })
+		qt.Check(t, cl.store.calls, qt.Equals, 2)
+		n.set(func() { n.storeFails = true })
 		time.Sleep(refreshSpacing)
 		qt.Check(t, errors.Is(n.follower.Refresh(ctx), errStore), qt.IsTrue)
 		time.Sleep(refreshSpacing)
 		qt.Check(t, errors.Is(n.follower.Refresh(ctx), carawayspread.ErrUnavailable), qt.IsTrue)
-		qt.Check(t, w.store.calls, qt.Equals, 3)
+		qt.Check(t, cl.store.calls, qt.Equals, 3)
 	})
 }
 
-// Guards against calls to the store that grow with the fleet: whoever learns all from
-// peers learns the store's clock from them too.
+// Guards against calls to the store that grow with the number of processes: those that get
+// everything from peers get the store's clock from them too.
 func TestStoreClockComesFromPeers(t *testing.T) {
 	var calls []int
-	for _, with := range []func(*testing.T, int, int, func(*world)){play, playKeyed} {
-		with(t, 3, 20, func(w *world) {
+	for _, with := range []func(*testing.T, int, int, func(*cluster)){runCluster, runClusterWithStoreClock} {
+		with(t, 3, 20, func(cl *cluster) {
 			time.Sleep(20 * time.Second)
-			calls = append(calls, w.calls(60*time.Second))
-			for _, n := range w.nodes {
-				slack, known := n.clock.DriftAllowance()
-				qt.Check(t, len(calls) < 2 || known && slack < driftLimit+driftCheckEvery, qt.IsTrue, qt.Commentf("process %s: %v", n.name(), slack))
+			calls = append(calls, cl.calls(60*time.Second))
+			for _, n := range cl.nodes {
+				drift, known := n.clock.DriftAllowance()
+				qt.Check(t, len(calls) < 2 || known && drift < driftLimit+driftCheckEvery, qt.IsTrue, qt.Commentf("process %s: %v", n.name(), drift))
 			}
 		})
 	}
@@ -163,15 +164,15 @@
 	qt.Check(t, calls[1] <= calls[0]*11/10, qt.IsTrue)
 }
 
-// overtaken is a source that learns a newer version, and hears that it is the newest,
-// while its own is asked for.
-type overtaken struct {
+// racingSource is a source that learns a newer version, and receives the report that this is the
+// newest, while its status is read.
+type racingSource struct {
 	*node
-	newer func() // nil once it was called
+	newer func() // set to nil before it is called
 }
 
-func (o *overtaken) Status(of carawayspread.Resource) carawayspread.ResourceStatus {
-	held := o.node.Status(of)
+func (o *racingSource) Status(resource carawayspread.Resource) carawayspread.ResourceStatus {
+	held := o.node.Status(resource)
 	if newer := o.newer; newer != nil {
 		o.newer = nil
 		newer()
@@ -179,25 +180,25 @@
 	return held
 }
 
-// Guards against evidence of a version that arrives between two looks and is taken for
-// the one before it.
-func TestEvidenceIsNotOfANewerVersion(t *testing.T) {
+// Guards against the freshness of a version that arrives between two reads of the state being
+// reported for the version before it.
+func TestFreshnessIsNotTakenFromNewerVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{store: &store{started: time.Now(), ver: 1, at: [carawayspread.ResourceCount]uint64{1, 1}}}
-		n := w.join(1, "z", true, 1)
+		cl := &cluster{store: &store{started: time.Now(), ver: 1, at: [carawayspread.ResourceCount]uint64{1, 1}}}
+		n := cl.join(1, "z", true, 1)
 		n.take(carawayspread.ResourceRoutes, carawayspread.ResourceStatus{Version: 1, Digest: 1, StoreTime: time.Second})
-		source := &overtaken{node: n}
-		f := New(source, n.rota, "z", 1, func() {}, carawayspread.SystemClock(), n.clock)
+		source := &racingSource{node: n}
+		f := New(source, n.election, "z", 1, func() {}, carawayspread.SystemClock(), n.clock)
 		source.newer = func() {
 			n.take(carawayspread.ResourceRoutes, carawayspread.ResourceStatus{Version: 2, Digest: 2, StoreTime: time.Second})
 			var p carawayspread.PeerStatus
 			p.Resources[carawayspread.ResourceRoutes] = carawayspread.ResourceStatus{Version: 2, Digest: 2, StoreTime: time.Minute}
 			f.ObservePeer(2, "peer", p)
 		}
-		had := f.have(carawayspread.ResourceRoutes)
+		had := f.heldStatus(carawayspread.ResourceRoutes)
 		qt.Check(t, had.Version, qt.Equals, uint64(1))
 		qt.Check(t, had.StoreTime, qt.Equals, time.Second)
-		had = f.have(carawayspread.ResourceRoutes)
+		had = f.heldStatus(carawayspread.ResourceRoutes)
 		qt.Check(t, had.Version, qt.Equals, uint64(2))
 		qt.Check(t, had.StoreTime, qt.Equals, time.Minute)
 	})
