--- a/internal/process/confsync/bench_test.go
+++ b/internal/process/confsync/bench_test.go
@@ -9,12 +9,12 @@
 	"carawayspread"
 )
 
-// BenchmarkPropagation reports how long after its acceptance a change is held by
-// the last of 100 daemons, which poll on their own at the default times. With
-// nudges, each daemon hears of the change when it is accepted.
+// BenchmarkPropagation reports how long after its acceptance a change is held by the last of 100
+// daemons, which poll independently at the default times. In the case "nudged", each daemon is
+// notified of the change when it is accepted.
 func BenchmarkPropagation(b *testing.B) {
 	const daemons = 100
-	for name, nudged := range map[string]bool{"polls": false, "nudged": true} {
+	for name, notified := range map[string]bool{"polls": false, "nudged": true} {
 		b.Run(name, func(b *testing.B) {
 			ctx, cancel := context.WithCancel(context.Background())
 			source := newMemoryLog(1)
@@ -33,7 +33,7 @@
 				accepted := time.Now()
 				source.append()
 				for _, s := range syncers {
-					if nudged {
+					if notified {
 						s.ObserveVersion(source.newest())
 					}
 				}
--- a/internal/process/confsync/peers.go
+++ b/internal/process/confsync/peers.go
@@ -17,104 +17,105 @@
 	"carawayspread/internal/version/snapshot"
 )
 
-// askedPeers are asked at once: the nearest and two others at random. The
-// nearest ones may all be cut off, or have started a moment ago, and know
-// nothing; without the random ones a daemon would ask the same in every round.
-const askedPeers = 3
+// peersPerRound is the number of peers queried at once: the nearest one and random others. The
+// nearest ones may all be cut off, or have just started, and hold nothing; without the random ones
+// a daemon would query the same peers in every round.
+const peersPerRound = 3
 
-func (s *Syncer) chosenPeers() []string {
+func (s *Syncer) choosePeers() []string {
 	peers := slices.Clone(s.peers())
-	if len(peers) <= askedPeers {
+	if len(peers) <= peersPerRound {
 		return peers
 	}
 	others := peers[1:]
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	return peers[:askedPeers]
+	return peers[:peersPerRound]
 }
 
-// Bounds of a peer's answer, which may be a snapshot of any size.
+// Limits of a peer's response, which may contain a snapshot of any size.
 const (
-	connectTime = 500 * time.Millisecond
-	silence     = time.Second
-	wholeTime   = 15 * time.Second
-	answerLimit = 64 << 20 // bytes, also unpacked
-	// askAgain is the time between two questions while the peer prepares its answer.
-	askAgain = 50 * time.Millisecond
+	connectTimeout = 500 * time.Millisecond
+	idleTimeout    = time.Second
+	totalTimeout   = 15 * time.Second
+	responseLimit  = 64 << 20 // bytes, both packed and unpacked
+	// preparingRetryDelay is the time between two queries while the peer prepares its snapshot.
+	preparingRetryDelay = 50 * time.Millisecond
 )
 
-// askPeers asks peers and ends the round with the first proof that is fresh. An answer
-// that is still arriving when the round ends without one goes on: begun anew in each
-// round, a large one would never be there.
-func (s *Syncer) askPeers(ctx context.Context, began stamp, enough context.CancelFunc) {
-	var asking sync.WaitGroup
-	for _, address := range s.chosenPeers() {
-		if _, asked := s.asking.LoadOrStore(address, nil); asked {
+// queryPeers queries peers and ends the round with the first confirmation that is fresh. If the
+// round ends without one, a response that is still arriving is received further: restarted in each
+// round, a large one would never be complete.
+func (s *Syncer) queryPeers(ctx context.Context, began stamp, endRound context.CancelFunc) {
+	var queries sync.WaitGroup
+	for _, address := range s.choosePeers() {
+		if _, asked := s.inFlight.LoadOrStore(address, nil); asked {
 			continue
 		}
-		asking.Go(func() {
-			defer s.asking.Delete(address)
-			arriving, stop := context.WithCancel(context.WithoutCancel(ctx))
+		queries.Go(func() {
+			defer s.inFlight.Delete(address)
+			transferCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 			defer stop()
 			defer context.AfterFunc(ctx, func() {
-				if errors.Is(ctx.Err(), context.Canceled) { // the round has its proof
+				if errors.Is(ctx.Err(), context.Canceled) { // the round has its confirmation
 					stop()
 				}
 			})()
-			if err := s.askPeer(arriving, address, began); err != nil {
+			if err := s.queryPeer(transferCtx, address, began); err != nil {
 				s.logger.WithField("peer", address).WithError(err).Warn("config.peerUnread")
 				return
 			}
-			if s.state.Load().proved.within(s.clock.Now(), s.freshFor) {
-				enough()
+			if s.state.Load().confirmed.within(s.clock.Now(), s.freshFor) {
+				endRound()
 			}
 		})
 	}
-	answered := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		asking.Wait()
-		close(answered)
+		queries.Wait()
+		close(done)
 	}()
 	select {
-	case <-answered:
+	case <-done:
 	case <-ctx.Done():
 		if errors.Is(ctx.Err(), context.Canceled) {
-			<-answered // they end at once, and the next round may ask them again
+			<-done // the queries end at once, and the next round may query the same peers
 		}
 	}
 }
 
-// askPeer asks one peer, again while the peer prepares its answer.
-func (s *Syncer) askPeer(ctx context.Context, address string, began stamp) error {
-	ctx, cancel := context.WithTimeout(ctx, wholeTime)
+// queryPeer queries one peer, and repeats the query while the peer prepares its snapshot.
+func (s *Syncer) queryPeer(ctx context.Context, address string, began stamp) error {
+	ctx, cancel := context.WithTimeout(ctx, totalTimeout)
 	defer cancel()
 	peer := s.dial(address)
 	for {
 		held := s.Held()
 		request := &control.ChangesRequest{After: uint64(held.Version()), Instance: s.instance, Packs: true}
-		answer, err := peer.Changes(ctx, request)
+		response, err := peer.Changes(ctx, request)
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		if !answer.GetPreparing() {
-			return s.take(held, answer, began)
+		if !response.GetPreparing() {
+			return s.applyResponse(held, response, began)
 		}
-		s.pause(ctx, askAgain)
+		s.sleep(ctx, preparingRetryDelay)
 	}
 }
 
-// take accepts a peer's answer. The evidence is the peer's, as old as the peer
-// says by the moment before it was asked. It speaks of the peer's version: an
-// answer that does not lead there, through a gap, proves nothing.
-func (s *Syncer) take(cfg *carawayspread.Config, answer *control.ChangesResponse, began stamp) error {
-	whole, err := wholeOf(answer)
+// applyResponse applies a peer's response to cfg and accepts the result. The confirmation is the
+// peer's: it is dated by the age that the peer reports, counted back from the moment before the
+// query. It applies to the peer's version: a response that does not lead to that version, because
+// of a gap, confirms nothing.
+func (s *Syncer) applyResponse(cfg *carawayspread.Config, response *control.ChangesResponse, began stamp) error {
+	full, err := snapshotOf(response)
 	if err != nil {
 		return err
 	}
-	if whole != nil && whole.Version() > cfg.Version() {
-		cfg = whole
+	if full != nil && full.Version() > cfg.Version() {
+		cfg = full
 	}
 	var records []record.Record
-	for _, change := range answer.GetChanges() {
+	for _, change := range response.GetChanges() {
 		r, err := record.Decode(change.GetBody())
 		if err != nil {
 			return err
@@ -127,65 +128,66 @@
 		}
 		records = append(records, r)
 	}
-	if cfg.Version() < carawayspread.Version(answer.GetVersion()) {
-		return trace.CompareFailed("peer holds version %d, its answer leads to %d", answer.GetVersion(), cfg.Version())
+	if cfg.Version() < carawayspread.Version(response.GetVersion()) {
+		return trace.CompareFailed("peer holds version %d, its response leads to %d", response.GetVersion(), cfg.Version())
 	}
-	age := time.Duration(answer.GetEvidenceAgeMs()) * time.Millisecond
+	age := time.Duration(response.GetEvidenceAgeMs()) * time.Millisecond
 	s.accept(cfg, records, stamp{at: began.at.Add(-age)})
 	return nil
 }
 
-// wholeOf returns the whole configuration that an answer holds; nil for none.
-func wholeOf(answer *control.ChangesResponse) (*carawayspread.Config, error) {
+// snapshotOf returns the full configuration that a response contains; nil if there is none.
+func snapshotOf(response *control.ChangesResponse) (*carawayspread.Config, error) {
 	switch {
-	case len(answer.GetPackedSnapshot()) > 0:
-		return unpackWhole(answer.GetPackedSnapshot())
-	case len(answer.GetSnapshot()) > 0:
-		return snapshot.Decode(answer.GetSnapshot())
+	case len(response.GetPackedSnapshot()) > 0:
+		return unpackSnapshot(response.GetPackedSnapshot())
+	case len(response.GetSnapshot()) > 0:
+		return snapshot.Decode(response.GetSnapshot())
 	}
 	return nil, nil
 }
 
-// Changes answers a peer: the records after its version, or a snapshot where
-// they are no longer held. It implements that method of control.Control.
+// Changes returns to a peer the records after its version, or a snapshot if they are no longer
+// held. It implements that method of control.Control.
 func (s *Syncer) Changes(ctx context.Context, request *control.ChangesRequest) (*control.ChangesResponse, error) {
 	s.ObserveVersion(carawayspread.Version(request.GetAfter()))
-	held, records, known := s.since(carawayspread.Version(request.GetAfter()))
-	if held.proved.zero() {
+	held, records, known := s.recordsSince(carawayspread.Version(request.GetAfter()))
+	if held.confirmed.zero() {
 		return nil, twirp.NewError(twirp.Unavailable, "no configuration is known here")
 	}
 	switch {
 	case known:
-		return s.answer(held, records)
+		return s.newResponse(held, records)
 	case request.GetPacks():
-		return s.answerPacked(ctx)
+		return s.packedResponse(ctx)
 	}
-	answer, err := s.answer(held, nil)
+	response, err := s.newResponse(held, nil)
 	if err == nil {
-		answer.Snapshot, err = snapshot.Encode(held.cfg)
+		response.Snapshot, err = snapshot.Encode(held.cfg)
 	}
-	return answer, trace.Wrap(err)
+	return response, trace.Wrap(err)
 }
 
-// answer returns what is held, with the records that lead to it.
-func (s *Syncer) answer(held *state, records []record.Record) (*control.ChangesResponse, error) {
-	answer := &control.ChangesResponse{
+// newResponse returns the held version and its staleness, with the records that lead to the
+// version.
+func (s *Syncer) newResponse(held *state, records []record.Record) (*control.ChangesResponse, error) {
+	response := &control.ChangesResponse{
 		Version:       uint64(held.cfg.Version()),
-		EvidenceAgeMs: uint64(held.proved.age(s.clock.Now()).Milliseconds()) + 1, // rounded up
+		EvidenceAgeMs: uint64(held.confirmed.age(s.clock.Now()).Milliseconds()) + 1, // rounded up
 	}
 	for _, r := range records {
 		body, err := r.Encode()
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
-		answer.Changes = append(answer.Changes, &control.Change{Version: uint64(r.Version), Body: body})
+		response.Changes = append(response.Changes, &control.Change{Version: uint64(r.Version), Body: body})
 	}
-	return answer, nil
+	return response, nil
 }
 
-// since returns the state with the records after a version; known is false
-// where some of them are no longer held.
-func (s *Syncer) since(after carawayspread.Version) (held *state, records []record.Record, known bool) {
+// recordsSince returns the state with the records after a version; known is false if some of them
+// are no longer held.
+func (s *Syncer) recordsSince(after carawayspread.Version) (held *state, records []record.Record, known bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	held = s.state.Load()
@@ -193,8 +195,8 @@
 	return held, records, known
 }
 
-// recordsAfter returns the records that lead from one version to the held one. Its
-// caller holds mu.
+// recordsAfter returns the records that lead from one version to the held one; known is false if
+// some of them are no longer held. Its caller holds mu.
 func (s *Syncer) recordsAfter(after, held carawayspread.Version) (records []record.Record, known bool) {
 	if after >= held {
 		return nil, true
--- a/internal/process/confsync/prepare.go
+++ b/internal/process/confsync/prepare.go
@@ -10,24 +10,23 @@
 	"carawayspread/internal/connection/control"
 )
 
-// prepareTurn is how long a peer waits for a snapshot before it is told to ask again. It
-// is well below the silence that a peer bears.
-const prepareTurn = 300 * time.Millisecond
+// prepareWait is how long a peer's query waits for a snapshot before the peer is told to repeat the
+// query. It is well below the peer's idle timeout.
+const prepareWait = 300 * time.Millisecond
 
-// preparation is the packed snapshot of one version, made once for all who ask.
+// preparation is the packed snapshot of one version, made once for all peers that query it.
 type preparation struct {
 	version carawayspread.Version
-	done    chan struct{} // closed when what follows is set
+	done    chan struct{} // closed when the fields below are set
 	packed  []byte
 	err     error
 }
 
-// prepare returns the preparation under way or done, or begins one of what is held where
-// the records do not lead on from that.
+// prepare returns the running or finished preparation. If there is none, or the records no longer
+// lead on from its version, it starts one of the held configuration.
 //
-// It does not end with the peer that asked: preparing a large configuration takes
-// longer than a peer bears silence, and begun anew for each question it would never be
-// done.
+// The preparation is not cancelled with the query that started it: preparing a large configuration
+// takes longer than a peer's idle timeout, and restarted for each query it would never finish.
 func (s *Syncer) prepare() *preparation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,17 +40,18 @@
 	s.prepared = p
 	go func() {
 		defer close(p.done)
-		p.packed, p.err = packWhole(cfg)
+		p.packed, p.err = packSnapshot(cfg)
 	}()
 	return p
 }
 
-// answerPacked answers with the prepared snapshot and the records that follow it.
-func (s *Syncer) answerPacked(ctx context.Context) (*control.ChangesResponse, error) {
+// packedResponse returns the prepared snapshot and the records that follow it, or that the snapshot
+// is still being prepared.
+func (s *Syncer) packedResponse(ctx context.Context) (*control.ChangesResponse, error) {
 	p := s.prepare()
 	select {
 	case <-p.done:
-	case <-s.clock.After(prepareTurn):
+	case <-s.clock.After(prepareWait):
 		return &control.ChangesResponse{Preparing: true}, nil
 	case <-ctx.Done():
 		return nil, trace.Wrap(ctx.Err())
@@ -59,13 +59,13 @@
 	if p.err != nil {
 		return nil, trace.Wrap(p.err)
 	}
-	held, records, known := s.since(p.version)
-	if !known { // so much has changed meanwhile that another one is prepared
+	held, records, known := s.recordsSince(p.version)
+	if !known { // the history no longer reaches back to it; the next query prepares another one
 		return &control.ChangesResponse{Preparing: true}, nil
 	}
-	answer, err := s.answer(held, records)
+	response, err := s.newResponse(held, records)
 	if err == nil {
-		answer.PackedSnapshot = p.packed
+		response.PackedSnapshot = p.packed
 	}
-	return answer, err
+	return response, err
 }
--- a/internal/process/confsync/prepare_test.go
+++ b/internal/process/confsync/prepare_test.go
@@ -17,35 +17,35 @@
 	"carawayspread/internal/version/snapshot"
 )
 
-// impatient is a clock on which every wait is over at once.
-type impatient struct{ shifted }
+// instantClock is a clock on which every wait ends at once.
+type instantClock struct{ shiftedClock }
 
-func (c *impatient) After(time.Duration) <-chan time.Time {
+func (c *instantClock) After(time.Duration) <-chan time.Time {
 	over := make(chan time.Time, 1)
 	over <- c.Now()
 	return over
 }
 
-func holding(clock carawayspread.Clock, version carawayspread.Version) *Syncer {
+func syncerAt(clock carawayspread.Clock, version carawayspread.Version) *Syncer {
 	s := newSyncer(newMemoryLog(0), clock)
 	s.accept(carawayspread.NewConfig(version, nil, map[string]carawayspread.Workspace{"demo": carawayspread.NewWorkspace("demo")}, nil), nil,
 		stamp{at: clock.Now()})
 	return s
 }
 
-// Guards against each peer's question having the same snapshot made anew, and against a
-// peer that is told nothing while it is made.
+// Guards against a snapshot that is prepared again for each peer's query, and against a peer that
+// gets no response while it is prepared.
 func TestSnapshotIsPreparedOnce(t *testing.T) {
-	ctx, ask := context.Background(), &control.ChangesRequest{Packs: true}
-	s := holding(&impatient{}, 300)
+	ctx, request := context.Background(), &control.ChangesRequest{Packs: true}
+	s := syncerAt(&instantClock{}, 300)
 	ready := func() *control.ChangesResponse {
 		for {
-			answer, err := s.Changes(ctx, ask)
+			response, err := s.Changes(ctx, request)
 			qt.Assert(t, err, qt.IsNil)
-			if !answer.GetPreparing() {
-				return answer
+			if !response.GetPreparing() {
+				return response
 			}
-			qt.Check(t, answer.GetVersion(), qt.Equals, uint64(0))
+			qt.Check(t, response.GetVersion(), qt.Equals, uint64(0))
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -57,52 +57,52 @@
 	second := ready()
 	qt.Check(t, &second.GetPackedSnapshot()[0] == &first.GetPackedSnapshot()[0], qt.IsTrue)
 	qt.Check(t, second.GetVersion(), qt.Equals, uint64(301))
-	starter := newSyncer(newMemoryLog(0), &shifted{})
-	qt.Assert(t, starter.take(starter.Held(), second, stamp{at: time.Now()}), qt.IsNil)
-	qt.Check(t, starter.Held().Version(), qt.Equals, carawayspread.Version(301))
-	qt.Check(t, starter.Held().Workspaces(), qt.HasLen, 2)
+	joiner := newSyncer(newMemoryLog(0), &shiftedClock{})
+	qt.Assert(t, joiner.applyResponse(joiner.Held(), second, stamp{at: time.Now()}), qt.IsNil)
+	qt.Check(t, joiner.Held().Version(), qt.Equals, carawayspread.Version(301))
+	qt.Check(t, joiner.Held().Workspaces(), qt.HasLen, 2)
 }
 
-// Guards against a daemon that begins a snapshot anew in each round, over a link on which
-// the packed one takes longer than a round.
+// Guards against a daemon that restarts the transfer of a snapshot in each round, over a link on
+// which the packed snapshot takes longer than a round.
 func TestSnapshotOutlastsTheRound(t *testing.T) {
 	const (
 		workspaces = 20_000
-		narrow     = 2e5 // bits a second
-		within     = 10 * time.Second
+		linkRate   = 2e5 // bits a second
+		limit      = 10 * time.Second
 	)
-	clock, all := &shifted{}, map[string]carawayspread.Workspace{}
+	clock, all := &shiftedClock{}, map[string]carawayspread.Workspace{}
 	for n := range workspaces {
 		name := fmt.Sprintf("workspace-%08d", n)
 		all[name] = carawayspread.NewWorkspace(name)
 	}
-	veteran := newSyncer(newMemoryLog(0), clock)
-	veteran.accept(carawayspread.NewConfig(300, nil, all, nil), nil, stamp{at: clock.Now()})
-	link, err := relay.New(peer(t, veteran), carawayspread.SystemClock())
+	provider := newSyncer(newMemoryLog(0), clock)
+	provider.accept(carawayspread.NewConfig(300, nil, all, nil), nil, stamp{at: clock.Now()})
+	link, err := relay.New(servePeer(t, provider), carawayspread.SystemClock())
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(link.Close)
-	link.Narrow(narrow)
+	link.Narrow(linkRate)
 	down := newMemoryLog(0)
 	down.set(true)
-	starter := newSyncer(down, clock, WithPeers(func() []string { return []string{link.Address()} }))
-	begun := time.Now()
-	for rounds := 0; !starter.Ready(); rounds++ {
-		starter.refresh(context.Background())
-		qt.Assert(t, time.Since(begun) < within, qt.IsTrue, qt.Commentf("%d rounds, %d bytes", rounds, link.Answered()))
+	joiner := newSyncer(down, clock, WithPeers(func() []string { return []string{link.Address()} }))
+	start := time.Now()
+	for rounds := 0; !joiner.Ready(); rounds++ {
+		joiner.refresh(context.Background())
+		qt.Assert(t, time.Since(start) < limit, qt.IsTrue, qt.Commentf("%d rounds, %d bytes", rounds, link.Answered()))
 	}
-	qt.Check(t, time.Since(begun) > defaultRoundTimeout, qt.IsTrue)
+	qt.Check(t, time.Since(start) > defaultRoundTimeout, qt.IsTrue)
 }
 
-// Guards against a whole configuration that a peer has otherwise than its giver.
-func TestWholeIsTheSameAtAPeer(t *testing.T) {
+// Guards against a snapshot that decodes to another configuration than the one that was packed.
+func TestSnapshotRoundTrip(t *testing.T) {
 	target := carawayspread.NewTarget(300*time.Millisecond, 0, 0, 0.95)
 	cfg := carawayspread.NewConfig(7,
 		map[string]carawayspread.Class{"rulings": carawayspread.NewClass("rulings", target, true)},
 		map[string]carawayspread.Workspace{"a": carawayspread.NewWorkspace("a"), "b": carawayspread.NewWorkspace("b")},
 		map[string]carawayspread.Service{"llm": carawayspread.NewService("llm", carawayspread.KindModel, []string{"m"}, true)})
-	packed, err := packWhole(cfg)
+	packed, err := packSnapshot(cfg)
 	qt.Assert(t, err, qt.IsNil)
-	got, err := unpackWhole(packed)
+	got, err := unpackSnapshot(packed)
 	qt.Assert(t, err, qt.IsNil)
 	want, err := snapshot.Encode(cfg)
 	qt.Assert(t, err, qt.IsNil)
@@ -111,38 +111,38 @@
 	qt.Check(t, string(same), qt.Equals, string(want))
 }
 
-// Guards against an older daemon that is answered in a form which it does not know.
-func TestOlderPeerGetsTheSnapshotItKnows(t *testing.T) {
-	s := holding(&shifted{}, 300)
-	answer, err := s.Changes(context.Background(), &control.ChangesRequest{})
+// Guards against a response in a format that the older daemon which requests it does not know.
+func TestOlderPeerGetsUnpackedSnapshot(t *testing.T) {
+	s := syncerAt(&shiftedClock{}, 300)
+	response, err := s.Changes(context.Background(), &control.ChangesRequest{})
 	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, len(answer.GetSnapshot()) > 0, qt.IsTrue)
-	qt.Check(t, answer.GetPackedSnapshot(), qt.HasLen, 0)
+	qt.Check(t, len(response.GetSnapshot()) > 0, qt.IsTrue)
+	qt.Check(t, response.GetPackedSnapshot(), qt.HasLen, 0)
 }
 
-// Guards against a forged or endless snapshot that is taken, or fills the memory.
-func TestSnapshotThatCannotBeReadIsDropped(t *testing.T) {
-	endless, err := transfer.Pack(make([]byte, answerLimit+1))
+// Guards against a forged or oversized snapshot that is accepted or exhausts the memory.
+func TestUnreadableSnapshotIsRejected(t *testing.T) {
+	oversized, err := transfer.Pack(make([]byte, responseLimit+1))
 	qt.Assert(t, err, qt.IsNil)
-	torn, err := packWhole(holding(&shifted{}, 7).Held())
+	truncated, err := packSnapshot(syncerAt(&shiftedClock{}, 7).Held())
 	qt.Assert(t, err, qt.IsNil)
 	other, err := transfer.Pack([]byte(`{"version":7}`))
 	qt.Assert(t, err, qt.IsNil)
-	none, err := transfer.Pack(nil)
+	empty, err := transfer.Pack(nil)
 	qt.Assert(t, err, qt.IsNil)
 	for name, c := range map[string]struct {
 		packed []byte
 		want   string
 	}{
-		"endless":    {endless, "larger than the limit"},
-		"torn":       {torn[:len(torn)/2], "unexpected EOF"},
-		"not packed": {[]byte(`{"version":7}`), "gzip"},
-		"not of us":  {other, "proto.*"},
-		"empty":      {none, "lacks its version"},
+		"endless":      {oversized, "larger than the limit"},
+		"torn":         {truncated[:len(truncated)/2], "unexpected EOF"},
+		"not packed":   {[]byte(`{"version":7}`), "gzip"},
+		"other format": {other, "proto.*"},
+		"empty":        {empty, "lacks its version"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSyncer(newMemoryLog(0), &shifted{})
-			err := s.take(s.Held(), &control.ChangesResponse{Version: 7, PackedSnapshot: c.packed}, stamp{at: time.Now()})
+			s := newSyncer(newMemoryLog(0), &shiftedClock{})
+			err := s.applyResponse(s.Held(), &control.ChangesResponse{Version: 7, PackedSnapshot: c.packed}, stamp{at: time.Now()})
 			qt.Check(t, err, qt.ErrorMatches, ".*"+c.want+".*")
 			qt.Check(t, s.Held().Version(), qt.Equals, carawayspread.Version(0))
 			qt.Check(t, s.Ready(), qt.IsFalse)
--- a/internal/process/confsync/refresh.go
+++ b/internal/process/confsync/refresh.go
@@ -10,7 +10,7 @@
 	"carawayspread"
 )
 
-// round is one attempt to prove the configuration current.
+// round is one attempt to confirm that the held configuration is current.
 type round struct {
 	done chan struct{} // closed when the attempt has ended
 }
@@ -19,15 +19,15 @@
 func (s *Syncer) Run(ctx context.Context) error {
 	for {
 		s.refresh(ctx)
-		s.awaitTurn(ctx)
+		s.awaitPoll(ctx)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 	}
 }
 
-// awaitTurn waits until the next poll is due or a version heard of calls for one.
-func (s *Syncer) awaitTurn(ctx context.Context) {
+// awaitPoll waits until the next poll is due or an announced version requires one.
+func (s *Syncer) awaitPoll(ctx context.Context) {
 	due := s.clock.After(jitter(s.poll))
 	for {
 		select {
@@ -35,50 +35,50 @@
 			return
 		case <-due:
 			return
-		case <-s.nudge:
+		case <-s.wake:
 		}
-		// Every daemon hears of a change in the same second; the spread keeps
-		// their reads from arriving at the table at once.
-		s.pause(ctx, time.Duration(rand.Int64N(int64(s.spread)+1)))
-		if s.wanting(s.heard.Load()) {
+		// All daemons learn of a change in the same second; the jitter keeps their reads from
+		// arriving at the table at once.
+		s.sleep(ctx, time.Duration(rand.Int64N(int64(s.readJitter)+1)))
+		if s.needsRead(s.announced.Load()) {
 			return
 		}
 	}
 }
 
-// wanting reports whether a version heard of is newer than the held one and not
-// settled by a read of the log.
-func (s *Syncer) wanting(version uint64) bool {
-	return version > uint64(s.Held().Version()) && version > s.tried.Load()
+// needsRead reports whether an announced version is newer than the held one and not covered by a
+// read of the log.
+func (s *Syncer) needsRead(version uint64) bool {
+	return version > uint64(s.Held().Version()) && version > s.settled.Load()
 }
 
-// jitter spreads d by a quarter to both sides, so that daemons started together
-// do not read the log together.
+// jitter randomizes d by up to a quarter in both directions, so that daemons started together do
+// not read the log together.
 func jitter(d time.Duration) time.Duration {
 	return d*3/4 + time.Duration(rand.Int64N(int64(d)/2+1))
 }
 
-func (s *Syncer) pause(ctx context.Context, d time.Duration) {
+func (s *Syncer) sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-s.clock.After(d):
 	}
 }
 
-// ObserveVersion tells that another daemon holds a version, and wakes Run where it is
-// newer. A version that the log has not confirmed wakes it once only.
+// ObserveVersion records that another daemon holds a version, and wakes Run if it is newer than the
+// held one. A version that a read of the log does not confirm wakes it only once.
 func (s *Syncer) ObserveVersion(version carawayspread.Version) {
-	if !s.wanting(uint64(version)) {
+	if !s.needsRead(uint64(version)) {
 		return
 	}
-	raise(&s.heard, uint64(version))
+	storeMax(&s.announced, uint64(version))
 	select {
-	case s.nudge <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-func raise(n *atomic.Uint64, v uint64) {
+func storeMax(n *atomic.Uint64, v uint64) {
 	for old := n.Load(); old < v; old = n.Load() {
 		if n.CompareAndSwap(old, v) {
 			return
@@ -86,15 +86,14 @@
 	}
 }
 
-// refresh joins the round in flight, or starts one, and waits for its end or
-// for that of the context.
+// refresh joins the running round, or starts one, and waits until it or the context ends.
 func (s *Syncer) refresh(ctx context.Context) {
 	s.mu.Lock()
 	current := s.round
 	if current == nil {
 		current = &round{done: make(chan struct{})}
 		s.round = current
-		go s.perform(context.WithoutCancel(ctx), current)
+		go s.runRound(context.WithoutCancel(ctx), current)
 	}
 	s.mu.Unlock()
 	select {
@@ -103,39 +102,40 @@
 	}
 }
 
-// perform asks the log, and the peers where the log fails or is slow. Whichever
-// answers is accepted at once; the round ends with the first proof.
-func (s *Syncer) perform(ctx context.Context, r *round) {
+// runRound reads the log, and queries the peers if the log fails or is slow. Each response is
+// accepted as it arrives; the round ends with the first confirmation.
+func (s *Syncer) runRound(ctx context.Context, r *round) {
 	ctx, cancel := context.WithTimeout(ctx, s.roundTimeout)
 	defer cancel()
 	began := stamp{at: s.clock.Now()}
-	heard := s.heard.Load()
+	announced := s.announced.Load()
 	read := make(chan bool, 1)
 	go func() { read <- s.readLog(ctx, began) }()
 
-	if s.logAnswers(read) {
-		raise(&s.tried, heard)
+	if s.awaitLog(read) {
+		storeMax(&s.settled, announced)
 		s.finish(r, began)
 		return
 	}
-	proved := make(chan struct{})
-	var asking sync.WaitGroup
-	asking.Go(func() {
+	finished := make(chan struct{})
+	var queries sync.WaitGroup
+	queries.Go(func() {
 		if <-read {
 			cancel()
 		}
 	})
-	asking.Go(func() { s.askPeers(ctx, began, cancel) })
+	queries.Go(func() { s.queryPeers(ctx, began, cancel) })
 	go func() {
-		asking.Wait()
-		close(proved)
+		queries.Wait()
+		close(finished)
 	}()
-	<-proved
+	<-finished
 	s.finish(r, began)
 }
 
-// logAnswers waits for the log as long as peers need not be asked.
-func (s *Syncer) logAnswers(read chan bool) bool {
+// awaitLog waits for the read of the log for at most the hedge delay, and reports whether it
+// succeeded. A failed read is put back into the channel.
+func (s *Syncer) awaitLog(read chan bool) bool {
 	select {
 	case ok := <-read:
 		if !ok {
@@ -151,12 +151,12 @@
 	s.mu.Lock()
 	s.round = nil
 	s.mu.Unlock()
-	s.attempted.Store(&began)
+	s.lastAttempt.Store(&began)
 	close(r.done)
 }
 
-// readLog reports whether the log answered. The proof is dated by the moment
-// before the read: a pause after it makes the proof as old as it is.
+// readLog reports whether the log could be read. The confirmation is dated by the moment before the
+// read, so that a pause after it counts towards its age.
 func (s *Syncer) readLog(ctx context.Context, began stamp) bool {
 	cfg, records, err := s.source.CatchUp(ctx, s.Held())
 	if err != nil {
--- a/internal/process/confsync/snapshot.go
+++ b/internal/process/confsync/snapshot.go
@@ -12,8 +12,8 @@
 	"carawayspread/internal/version/change"
 )
 
-// packWhole returns a whole configuration for a peer.
-func packWhole(cfg *carawayspread.Config) ([]byte, error) {
+// packSnapshot encodes and compresses the full configuration for a peer.
+func packSnapshot(cfg *carawayspread.Config) ([]byte, error) {
 	var parts []change.Option
 	for _, class := range cfg.Classes() {
 		parts = append(parts, change.SetClass(class))
@@ -25,36 +25,36 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	whole := &control.Snapshot{Version: uint64(cfg.Version()), Config: rest}
+	snapshot := &control.Snapshot{Version: uint64(cfg.Version()), Config: rest}
 	for _, workspace := range cfg.Workspaces() {
-		whole.Workspaces = append(whole.Workspaces, workspace.Name())
+		snapshot.Workspaces = append(snapshot.Workspaces, workspace.Name())
 	}
-	body, err := proto.Marshal(whole)
+	body, err := proto.Marshal(snapshot)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	return transfer.Pack(body)
 }
 
-// unpackWhole reads a whole configuration of a peer.
-func unpackWhole(packed []byte) (*carawayspread.Config, error) {
-	body, err := transfer.Unpack(packed, answerLimit)
+// unpackSnapshot decodes a full configuration that a peer has packed.
+func unpackSnapshot(packed []byte) (*carawayspread.Config, error) {
+	body, err := transfer.Unpack(packed, responseLimit)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	whole, rest := &control.Snapshot{}, &change.Change{}
-	if err := proto.Unmarshal(body, whole); err != nil {
+	snapshot, rest := &control.Snapshot{}, &change.Change{}
+	if err := proto.Unmarshal(body, snapshot); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	version := carawayspread.Version(whole.GetVersion())
+	version := carawayspread.Version(snapshot.GetVersion())
 	if version == 0 {
 		return nil, trace.BadParameter("configuration snapshot lacks its version")
 	}
-	if err := json.Unmarshal(whole.GetConfig(), rest); err != nil {
+	if err := json.Unmarshal(snapshot.GetConfig(), rest); err != nil {
 		return nil, trace.BadParameter("configuration snapshot: %v", err)
 	}
-	edit := carawayspread.Edit{SetWorkspaces: make([]carawayspread.Workspace, 0, len(whole.GetWorkspaces()))}
-	for _, name := range whole.GetWorkspaces() {
+	edit := carawayspread.Edit{SetWorkspaces: make([]carawayspread.Workspace, 0, len(snapshot.GetWorkspaces()))}
+	for _, name := range snapshot.GetWorkspaces() {
 		edit.SetWorkspaces = append(edit.SetWorkspaces, carawayspread.NewWorkspace(name))
 	}
 	return rest.Replay(carawayspread.NewConfig(version-1, nil, nil, nil)).Next(version, edit), nil
--- a/internal/process/confsync/stamp.go
+++ b/internal/process/confsync/stamp.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// stamp is a moment kept for measuring how long ago it was.
+// stamp is a moment kept to measure how long ago it was.
 type stamp struct {
 	at time.Time // with its monotonic reading
 }
 
 func (t stamp) zero() bool { return t.at.IsZero() }
 
-// age returns the longer of the times that the monotonic and the wall clock saw
-// pass. The monotonic clock stands still while the machine is suspended, and
-// the wall clock may be set back; a pause must show on one of them.
+// age returns the time since the stamp by the monotonic or the wall clock, whichever is longer. The
+// monotonic clock does not advance while the instance is suspended, and the wall clock may be set
+// back; a pause shows on at least one of them.
 func (t stamp) age(now time.Time) time.Duration {
 	return max(now.Sub(t.at), now.Round(0).Sub(t.at.Round(0)))
 }
--- a/internal/process/confsync/syncer_test.go
+++ b/internal/process/confsync/syncer_test.go
@@ -21,37 +21,37 @@
 	"carawayspread/internal/version/snapshot"
 )
 
-// shifted is the system's clock plus the time that the process slept.
-type shifted struct {
-	mu    sync.Mutex
-	slept time.Duration
+// shiftedClock is the system's clock plus the time for which the process was paused.
+type shiftedClock struct {
+	mu     sync.Mutex
+	offset time.Duration
 }
 
-func (c *shifted) Now() time.Time {
+func (c *shiftedClock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Now().Add(c.slept)
+	return time.Now().Add(c.offset)
 }
 
-func (c *shifted) After(d time.Duration) <-chan time.Time { return time.After(d) }
+func (c *shiftedClock) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
-func (c *shifted) sleep(d time.Duration) {
+func (c *shiftedClock) advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.slept += d
+	c.offset += d
 }
 
 var errDown = errors.New("table service down")
 
-// memoryLog is a configuration log that can be down, or hold an answer back.
+// memoryLog is a configuration log that can be down, or delay a response.
 type memoryLog struct {
 	mu       sync.Mutex
 	versions []*carawayspread.Config
 	records  []record.Record
 	down     bool
 	reads    int
-	holding  chan struct{} // an answer waits until it is closed
-	held     chan struct{} // closed once an answer waits
+	hold     chan struct{} // the next response waits until it is closed
+	waiting  chan struct{} // closed once the response waits
 }
 
 func newMemoryLog(versions int) *memoryLog {
@@ -82,12 +82,12 @@
 	l.reads++
 	newest, down := l.versions[len(l.versions)-1], l.down
 	records := l.records[min(int(from.Version()), len(l.records)):]
-	holding := l.holding
-	l.holding = nil
+	hold := l.hold
+	l.hold = nil
 	l.mu.Unlock()
-	if holding != nil {
-		close(l.held)
-		<-holding
+	if hold != nil {
+		close(l.waiting)
+		<-hold
 	}
 	if down {
 		return from, nil, errDown
@@ -102,8 +102,8 @@
 	return New(source, clock, opts...)
 }
 
-// peer serves a Syncer's changes over Twirp and returns its address.
-func peer(t testing.TB, s *Syncer) string {
+// servePeer serves a Syncer's changes over Twirp and returns the address.
+func servePeer(t testing.TB, s *Syncer) string {
 	server := httptest.NewServer(control.NewControlServer(peerServer{syncer: s}))
 	t.Cleanup(server.Close)
 	return server.Listener.Addr().String()
@@ -118,43 +118,43 @@
 	return p.syncer.Changes(ctx, r)
 }
 
-// The process is paused while a change is accepted and comes into force. The
-// first request after it wakes must be served under the new version: the held
-// one passed its evidence's age during the pause. In the second case a read of
-// the log was answered before the pause and arrives after it; it proves nothing
-// about the time between.
+// Guards against a request that is served under an old version after the process was paused while a
+// change was accepted and came into force. The first request after the pause must be served under
+// the new version, since the confirmation of the held one became too old. In the second case a read
+// of the log was answered before the pause and arrives after it; it confirms nothing about the time
+// between.
 func TestCurrentAfterPause(t *testing.T) {
 	for name, inFlight := range map[string]bool{"idle": false, "read in flight": true} {
 		t.Run(name, func(t *testing.T) {
 			ctx := context.Background()
-			source, clock := newMemoryLog(1), &shifted{}
+			source, clock := newMemoryLog(1), &shiftedClock{}
 			s := newSyncer(source, clock)
 			s.hedge, s.roundTimeout = time.Minute, time.Minute
 			qt.Assert(t, s.Current(ctx).Version(), qt.Equals, carawayspread.Version(1))
 			if inFlight {
-				source.holding, source.held = make(chan struct{}), make(chan struct{})
-				release := source.holding
+				source.hold, source.waiting = make(chan struct{}), make(chan struct{})
+				release := source.hold
 				go s.refresh(ctx)
-				<-source.held
+				<-source.waiting
 				defer time.AfterFunc(20*time.Millisecond, func() { close(release) }).Stop()
 			}
 			source.append()
-			clock.sleep(time.Minute)
+			clock.advance(time.Minute)
 			qt.Check(t, s.Current(ctx).Version(), qt.Equals, carawayspread.Version(2))
 		})
 	}
 }
 
-// The table is down for hours. Requests go on under the last accepted version,
-// and only the first one after a pause waits for a proof that cannot be had;
-// were each to wait, the outage of the table would become one of the service.
+// Guards against an outage of the table that becomes an outage of the service, since each request
+// waits for a confirmation that cannot be obtained. With the table down for hours, requests are
+// served under the last accepted version, and only the first one after a pause waits.
 func TestCurrentDuringOutage(t *testing.T) {
 	ctx := context.Background()
-	source, clock := newMemoryLog(3), &shifted{}
+	source, clock := newMemoryLog(3), &shiftedClock{}
 	s := newSyncer(source, clock)
 	s.refresh(ctx)
 	source.set(true)
-	clock.sleep(time.Hour)
+	clock.advance(time.Hour)
 	for range 100 {
 		qt.Assert(t, s.Current(ctx).Version(), qt.Equals, carawayspread.Version(3))
 	}
@@ -163,64 +163,65 @@
 	qt.Check(t, ok && age >= time.Hour, qt.IsTrue)
 }
 
-// A daemon starts while the table is down. It gets the configuration from a
-// peer, by snapshot, later by changes, and inherits the age of the peer's
-// evidence; a peer that knows nothing itself makes it ready for nothing.
+// Guards against a daemon that cannot start while the table is down, or that treats what it gets as
+// newer than it is. It gets the configuration from a peer, by snapshot, later by changes, and takes
+// over the age of the peer's confirmation. A peer without a confirmed configuration does not make
+// it ready.
 func TestStartDuringOutage(t *testing.T) {
 	ctx := context.Background()
-	source, clock := newMemoryLog(300), &shifted{}
-	veteran, blank := newSyncer(source, clock), newSyncer(source, clock)
-	veteran.refresh(ctx)
-	clock.sleep(5 * time.Second)
+	source, clock := newMemoryLog(300), &shiftedClock{}
+	provider, empty := newSyncer(source, clock), newSyncer(source, clock)
+	provider.refresh(ctx)
+	clock.advance(5 * time.Second)
 
 	down := newMemoryLog(0)
 	down.set(true)
-	peers := []string{peer(t, blank)}
-	starter := newSyncer(down, clock, WithPeers(func() []string { return peers }))
-	starter.refresh(ctx)
-	qt.Assert(t, starter.Ready(), qt.IsFalse)
+	peers := []string{servePeer(t, empty)}
+	joiner := newSyncer(down, clock, WithPeers(func() []string { return peers }))
+	joiner.refresh(ctx)
+	qt.Assert(t, joiner.Ready(), qt.IsFalse)
 
-	peers = append(peers, peer(t, veteran))
-	for range 10 { // more peers than are asked in one round
+	peers = append(peers, servePeer(t, provider))
+	for range 10 { // more peers than are queried in one round
 		peers = append([]string{peers[0]}, peers...)
 	}
 	for range 200 {
-		starter.refresh(ctx)
-		if starter.Ready() {
+		joiner.refresh(ctx)
+		if joiner.Ready() {
 			break
 		}
 	}
-	qt.Assert(t, starter.Ready(), qt.IsTrue)
-	qt.Check(t, starter.Held().Version(), qt.Equals, carawayspread.Version(300))
-	age, _ := starter.Staleness()
+	qt.Assert(t, joiner.Ready(), qt.IsTrue)
+	qt.Check(t, joiner.Held().Version(), qt.Equals, carawayspread.Version(300))
+	age, _ := joiner.Staleness()
 	qt.Check(t, age >= 5*time.Second, qt.IsTrue)
 
 	source.append()
-	veteran.refresh(ctx)
+	provider.refresh(ctx)
 	peers = peers[len(peers)-1:]
-	starter.refresh(ctx)
-	qt.Check(t, starter.Held().Version(), qt.Equals, carawayspread.Version(301))
+	joiner.refresh(ctx)
+	qt.Check(t, joiner.Held().Version(), qt.Equals, carawayspread.Version(301))
 }
 
-// interrupted is a log whose reads break off at version 3.
-type interrupted struct{ *memoryLog }
+// interruptedLog is a log whose reads fail after version 3.
+type interruptedLog struct{ *memoryLog }
 
-func (l interrupted) CatchUp(context.Context, *carawayspread.Config) (*carawayspread.Config, []record.Record, error) {
+func (l interruptedLog) CatchUp(context.Context, *carawayspread.Config) (*carawayspread.Config, []record.Record, error) {
 	return l.versions[3], l.records[:3], errDown
 }
 
-// Reads of the log break off on the way. What they brought is kept, and proves
-// nothing: the daemon does not yet serve.
+// Guards against progress that is lost when a read of the log fails midway, and against a daemon
+// that takes it for a confirmation: the records read are kept, but the daemon is not ready.
 func TestRefreshKeepsProgress(t *testing.T) {
-	s := newSyncer(interrupted{newMemoryLog(5)}, &shifted{})
+	s := newSyncer(interruptedLog{newMemoryLog(5)}, &shiftedClock{})
 	s.refresh(context.Background())
 	qt.Check(t, s.Held().Version(), qt.Equals, carawayspread.Version(3))
 	qt.Check(t, s.Ready(), qt.IsFalse)
 }
 
-// Answers of the log and of peers arrive late, crossed, twice, cut short and
-// with gaps. The held version never falls, is always one that was accepted, and
-// the evidence never claims more than was true.
+// Guards against a held version that decreases or was never accepted, and against a confirmation
+// that claims more than was true, when responses of the log and of peers arrive late, reordered,
+// duplicated, truncated and with gaps.
 func TestNeverReverts(t *testing.T) {
 	const versions = 12
 	source := newMemoryLog(versions)
@@ -230,24 +231,24 @@
 		newestAt := func(at time.Time) carawayspread.Version {
 			return carawayspread.Version(at.Sub(start) / time.Minute)
 		}
-		s := newSyncer(source, &shifted{})
+		s := newSyncer(source, &shiftedClock{})
 		for range rapid.IntRange(1, 20).Draw(t, "answers") {
 			before := s.Held().Version()
 			from := rapid.IntRange(0, versions).Draw(t, "from")
 			to := rapid.IntRange(from, versions).Draw(t, "to")
-			proved := stamp{at: start.Add(time.Duration(to)*time.Minute + time.Second)}
+			confirmed := stamp{at: start.Add(time.Duration(to)*time.Minute + time.Second)}
 			if rapid.Bool().Draw(t, "log") {
-				s.accept(source.versions[to], source.records[from:to], proved)
+				s.accept(source.versions[to], source.records[from:to], confirmed)
 			} else {
-				_ = s.take(s.Held(), mutilated(t, source, from, to), proved)
+				_ = s.applyResponse(s.Held(), lossyResponse(t, source, from, to), confirmed)
 			}
 			held := s.state.Load()
-			must(t, held.cfg.Version() >= before, "the version fell")
+			must(t, held.cfg.Version() >= before, "the version decreased")
 			got, _ := snapshot.Encode(held.cfg)
 			want, _ := snapshot.Encode(source.versions[held.cfg.Version()])
 			must(t, string(got) == string(want), "the configuration was never accepted")
-			if !held.proved.zero() {
-				must(t, held.cfg.Version() >= newestAt(held.proved.at), "the evidence claims too much")
+			if !held.confirmed.zero() {
+				must(t, held.cfg.Version() >= newestAt(held.confirmed.at), "the confirmation claims too much")
 			}
 		}
 	})
@@ -259,28 +260,28 @@
 	}
 }
 
-// mutilated is a peer's answer with changes left out at random.
-func mutilated(t *rapid.T, source *memoryLog, from, to int) *control.ChangesResponse {
-	answer := &control.ChangesResponse{Version: uint64(to)}
+// lossyResponse returns a peer's response with changes left out at random.
+func lossyResponse(t *rapid.T, source *memoryLog, from, to int) *control.ChangesResponse {
+	response := &control.ChangesResponse{Version: uint64(to)}
 	for _, r := range source.records[from:to] {
 		if rapid.IntRange(0, 5).Draw(t, "lost") == 0 {
 			continue
 		}
 		body, err := r.Encode()
 		must(t, err == nil, "a record cannot be encoded")
-		answer.Changes = append(answer.Changes, &control.Change{Version: uint64(r.Version), Body: body})
+		response.Changes = append(response.Changes, &control.Change{Version: uint64(r.Version), Body: body})
 	}
-	return answer
+	return response
 }
 
-// A daemon that polls seldom hears of a newer version in a load report and has
-// it without waiting for the next poll.
-func TestHeardWakesRun(t *testing.T) {
+// Guards against a newer version that is fetched only with the next poll: a daemon that polls
+// rarely learns of it from a load report and reads the log at once.
+func TestObservedVersionWakesRun(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	source := newMemoryLog(1)
 	adopted := make(chan carawayspread.Version, 2)
-	s := newSyncer(source, &shifted{}, WithAdopted(func(cfg *carawayspread.Config) { adopted <- cfg.Version() }))
-	s.poll, s.spread = time.Hour, 0
+	s := newSyncer(source, &shiftedClock{}, WithAdopted(func(cfg *carawayspread.Config) { adopted <- cfg.Version() }))
+	s.poll, s.readJitter = time.Hour, 0
 	ended := make(chan error)
 	go func() { ended <- s.Run(ctx) }()
 	qt.Check(t, <-adopted, qt.Equals, carawayspread.Version(1))
