--- a/internal/process/fleet/bench_test.go
+++ b/internal/process/fleet/bench_test.go
@@ -25,64 +25,64 @@
 	"carawayspread/internal/version/changelog"
 )
 
-// member is one daemon: its own clients of the platform, its Syncer and its
-// control service on loopback.
+// member is one daemon with its own clients of the platform, its Syncer and its control service on
+// loopback.
 type member struct {
 	control.Control
-	id     string
-	log    *changelog.Log
-	syncer *confsync.Syncer
-	server *httptest.Server
-	cut    atomic.Bool // from the table, the peers and the operators
+	id       string
+	log      *changelog.Log
+	syncer   *confsync.Syncer
+	server   *httptest.Server
+	isolated atomic.Bool // from the table, the peers and the operators
 	carawayspread.Table
 }
 
 func (m *member) Query(ctx context.Context, partition, after string, limit int) ([]carawayspread.Item, error) {
-	if m.cut.Load() {
+	if m.isolated.Load() {
 		return nil, carawayspread.ErrUnavailable
 	}
 	return m.Table.Query(ctx, partition, after, limit)
 }
 
 func (m *member) Status(_ context.Context, r *control.StatusRequest) (*control.StatusResponse, error) {
-	if m.cut.Load() {
+	if m.isolated.Load() {
 		return nil, carawayspread.ErrUnavailable
 	}
 	m.syncer.ObserveVersion(carawayspread.Version(r.GetConfigVersion()))
 	return &control.StatusResponse{Instance: m.id, ConfigVersion: uint64(m.syncer.Held().Version())}, nil
 }
 
-// BenchmarkInForce reports how long 360 daemons on loopback, each with its own
-// clients and control service, take until all confirm a change, the reads of
-// the table for each change, and, where a quarter of them is cut off during the
-// change, how long these take after the cut.
+// BenchmarkInForce reports how long 360 daemons on loopback, each with its own clients and control
+// service, take until all of them confirm a change, and the reads of the table for each change. In
+// the case where a quarter of them is isolated during the change, it also reports how long these
+// take after the isolation ends.
 func BenchmarkInForce(b *testing.B) {
 	const daemons = 360
-	for name, cut := range map[string]int{"allReachable": 0, "regionCutOff": daemons / 4} {
+	for name, isolated := range map[string]int{"allReachable": 0, "regionCutOff": daemons / 4} {
 		b.Run(name, func(b *testing.B) {
 			ctx, cancel := context.WithCancel(context.Background())
 			tables := table.New(carawayspread.SystemClock())
 			members := startMembers(ctx, b, tables, daemons)
-			f := New(listOf(members), func(address string) control.Control {
+			f := New(instanceList(members), func(address string) control.Control {
 				return control.NewControlProtobufClient("http://"+address, http.DefaultClient)
 			})
-			awaitForce(b, f, 0, daemons)
-			var inForce, healed time.Duration
+			awaitConfirmed(b, f, 0, daemons)
+			var inForce, reconnected time.Duration
 			before, changes := tables.Reads(), 0
 			for b.Loop() {
-				for _, m := range members[daemons-cut:] {
-					m.cut.Store(true)
+				for _, m := range members[daemons-isolated:] {
+					m.isolated.Store(true)
 				}
 				version := accept(ctx, b, members[0])
-				inForce = max(inForce, awaitForce(b, f, version, daemons-cut))
-				for _, m := range members[daemons-cut:] {
-					m.cut.Store(false)
+				inForce = max(inForce, awaitConfirmed(b, f, version, daemons-isolated))
+				for _, m := range members[daemons-isolated:] {
+					m.isolated.Store(false)
 				}
-				healed = max(healed, awaitForce(b, f, version, daemons))
+				reconnected = max(reconnected, awaitConfirmed(b, f, version, daemons))
 				changes++
 			}
 			b.ReportMetric(inForce.Seconds(), "longest-s")
-			b.ReportMetric(healed.Seconds(), "longest-after-cut-s")
+			b.ReportMetric(reconnected.Seconds(), "longest-after-cut-s")
 			b.ReportMetric(float64(tables.Reads()-before)/float64(changes), "reads/change")
 			cancel()
 		})
@@ -114,7 +114,7 @@
 	return members
 }
 
-func listOf(members []*member) func(context.Context) ([]carawayspread.Instance, error) {
+func instanceList(members []*member) func(context.Context) ([]carawayspread.Instance, error) {
 	return func(context.Context) ([]carawayspread.Instance, error) {
 		listed := make([]carawayspread.Instance, len(members))
 		for i, m := range members {
@@ -134,15 +134,15 @@
 	return r.Version
 }
 
-// awaitForce asks until that many daemons confirm the version, ten times a
-// second, and returns how long it took.
-func awaitForce(b *testing.B, f *Fleet, version carawayspread.Version, confirmed int) time.Duration {
-	began := time.Now()
+// awaitConfirmed queries the daemons ten times a second until the given number of them confirms the
+// version, and returns how long it took.
+func awaitConfirmed(b *testing.B, f *Fleet, version carawayspread.Version, confirmed int) time.Duration {
+	start := time.Now()
 	for {
 		states, err := f.Status(context.Background(), version)
 		qt.Assert(b, err, qt.IsNil)
 		if len(states)-len(SummarizeRollout(states).Unconfirmed) >= confirmed {
-			return time.Since(began)
+			return time.Since(start)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
--- a/internal/process/fleet/fleet.go
+++ b/internal/process/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet asks the listed instances, through their control services, what
-// they hold and do, and orders drains.
+// Package fleet queries the listed instances, through their control services, for the configuration
+// that they hold and the state of their endpoints, and requests drains.
 package fleet
 
 import (
@@ -16,70 +16,69 @@
 )
 
 const (
-	// askedAtOnce bounds the connections of one inquiry: 360 instances take
-	// twelve rounds of a millisecond, or of the timeout where all are gone.
-	askedAtOnce    = 32
-	defaultTimeout = time.Second
+	// maxConcurrentCalls bounds the connections of one query of all instances: 360 instances take
+	// twelve rounds of a millisecond, or of the timeout if none of them responds.
+	maxConcurrentCalls = 32
+	defaultTimeout     = time.Second
 )
 
-// Fleet asks the listed instances. It is safe for concurrent use.
+// Fleet queries the listed instances. It is safe for concurrent use.
 type Fleet struct {
 	list    func(ctx context.Context) ([]carawayspread.Instance, error)
 	dial    func(address string) control.Control
 	timeout time.Duration // bounds one call
 }
 
-// New returns a Fleet of the instances that list names.
+// New returns a Fleet of the instances that list returns.
 func New(list func(context.Context) ([]carawayspread.Instance, error), dial func(address string) control.Control) *Fleet {
 	return &Fleet{list: list, dial: dial, timeout: defaultTimeout}
 }
 
-// Status asks every listed instance for its state and whether it holds the
-// version or a newer one. The question is a hint too: an instance that does not
-// hold the version reads the log at once.
+// Status queries every listed instance for its state and whether it holds the version or a newer
+// one. The query is also a hint: an instance that does not hold the version reads the log at once.
 func (f *Fleet) Status(ctx context.Context, version carawayspread.Version) ([]adminapi.Instance, error) {
 	listed, err := f.list(ctx)
 	if err != nil {
 		return nil, err
 	}
 	states := make([]adminapi.Instance, len(listed))
-	slots := make(chan struct{}, askedAtOnce)
-	var asking sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentCalls)
+	var calls sync.WaitGroup
 	for i, instance := range listed {
 		slots <- struct{}{}
-		asking.Go(func() {
+		calls.Go(func() {
 			defer func() { <-slots }()
-			states[i] = f.ask(ctx, instance, version)
+			states[i] = f.queryInstance(ctx, instance, version)
 		})
 	}
-	asking.Wait()
+	calls.Wait()
 	return states, nil
 }
 
-func (f *Fleet) ask(ctx context.Context, instance carawayspread.Instance, version carawayspread.Version) adminapi.Instance {
+func (f *Fleet) queryInstance(ctx context.Context, instance carawayspread.Instance, version carawayspread.Version) adminapi.Instance {
 	state := adminapi.Instance{
 		ID: instance.ID, Role: instance.Role, State: instance.State,
 		Region: instance.Region, Zone: instance.Zone,
 	}
 	ctx, cancel := context.WithTimeout(ctx, f.timeout)
 	defer cancel()
-	answer, err := f.dial(instance.Control).Status(ctx, &control.StatusRequest{ConfigVersion: uint64(version)})
+	response, err := f.dial(instance.Control).Status(ctx, &control.StatusRequest{ConfigVersion: uint64(version)})
 	switch {
 	case err != nil:
 		state.Reason = reason(ctx, err)
 		return state
-	case answer.GetInstance() != instance.ID:
-		// The address was given to another process while the list lags; its
-		// answer says nothing about the listed one.
-		state.Reason = fmt.Sprintf("instance %s answers at its address", answer.GetInstance())
+	case response.GetInstance() != instance.ID:
+		// The list lags and the address now belongs to another process, whose response does not
+		// apply to the listed instance.
+		state.Reason = fmt.Sprintf("instance %s answers at its address", response.GetInstance())
 		return state
 	}
 	state.Answered = true
-	state.Version = carawayspread.Version(answer.GetConfigVersion())
+	state.Version = carawayspread.Version(response.GetConfigVersion())
 	state.Confirmed = state.Version >= version
-	state.EvidenceAgeMs = answer.GetEvidenceAgeMs()
-	state.Draining = answer.GetDraining()
-	for _, e := range answer.GetEndpoints() {
+	state.EvidenceAgeMs = response.GetEvidenceAgeMs()
+	state.Draining = response.GetDraining()
+	for _, e := range response.GetEndpoints() {
 		state.Endpoints = append(state.Endpoints, adminapi.Endpoint{
 			ID: e.GetEndpoint(), Role: e.GetRole(), Running: e.GetRunning(), Waiting: e.GetWaiting(),
 			Slots: e.GetSlots(), Draining: e.GetDraining(), Crashed: e.GetCrashed(),
@@ -88,7 +87,8 @@
 	return state
 }
 
-// reason keeps addresses and ports out of answers: the instance is named.
+// reason returns why a call failed, without the addresses and ports that the error may contain: the
+// result names the instance.
 func reason(ctx context.Context, err error) string {
 	if ctx.Err() != nil {
 		return "no answer in time"
@@ -99,7 +99,7 @@
 	return "not reachable"
 }
 
-// RolloutStatus tells whether every listed instance confirmed a version.
+// RolloutStatus reports whether every listed instance confirmed a version.
 func (f *Fleet) RolloutStatus(ctx context.Context, version carawayspread.Version) adminapi.Force {
 	states, err := f.Status(ctx, version)
 	if err != nil {
@@ -108,9 +108,9 @@
 	return SummarizeRollout(states)
 }
 
-// SummarizeRollout sums up the states of all listed instances.
+// SummarizeRollout returns which of the listed instances have not confirmed the version.
 func SummarizeRollout(states []adminapi.Instance) adminapi.Force {
-	force := adminapi.Force{}
+	rollout := adminapi.Force{}
 	for _, state := range states {
 		if state.Confirmed {
 			continue
@@ -119,14 +119,14 @@
 		if state.Answered {
 			unconfirmed.Reason = fmt.Sprintf("holds version %d", state.Version)
 		}
-		force.Unconfirmed = append(force.Unconfirmed, unconfirmed)
+		rollout.Unconfirmed = append(rollout.Unconfirmed, unconfirmed)
 	}
-	force.InForce = len(force.Unconfirmed) == 0
-	return force
+	rollout.InForce = len(rollout.Unconfirmed) == 0
+	return rollout
 }
 
-// Drain asks the sidecar of an instance, or that of an endpoint, to give no new
-// work. Draining is idempotent; where the answer is lost, ask again.
+// Drain requests that the sidecar of an instance, or that of an endpoint, assigns no new work.
+// Draining is idempotent; if the response is lost, the call may be repeated.
 func (f *Fleet) Drain(ctx context.Context, target adminapi.Drain, actor string) (adminapi.Drained, error) {
 	listed, err := f.list(ctx)
 	if err != nil {
@@ -135,7 +135,7 @@
 			carawayspread.NotRun(), carawayspread.RetryAfter(defaultTimeout), carawayspread.CausedBy(err),
 		)
 	}
-	instance, ok := find(listed, target)
+	instance, ok := findInstance(listed, target)
 	if !ok {
 		return adminapi.Drained{}, carawayspread.NewError(
 			carawayspread.CodeNotFound, "no listed instance has this instance or endpoint", carawayspread.NotRun(),
@@ -143,17 +143,17 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, f.timeout)
 	defer cancel()
-	answer, err := f.dial(instance.Control).Drain(ctx, &control.DrainRequest{Endpoint: target.Endpoint, Actor: actor})
+	response, err := f.dial(instance.Control).Drain(ctx, &control.DrainRequest{Endpoint: target.Endpoint, Actor: actor})
 	if err != nil {
 		return adminapi.Drained{}, carawayspread.NewError(
 			carawayspread.CodeUnknownOutcome, "instance "+instance.ID+" did not answer; a drain may be asked for again",
 			carawayspread.RetryAfter(defaultTimeout), carawayspread.CausedBy(err),
 		)
 	}
-	return adminapi.Drained{Instance: instance.ID, Endpoint: target.Endpoint, Running: answer.GetRunning()}, nil
+	return adminapi.Drained{Instance: instance.ID, Endpoint: target.Endpoint, Running: response.GetRunning()}, nil
 }
 
-func find(listed []carawayspread.Instance, target adminapi.Drain) (carawayspread.Instance, bool) {
+func findInstance(listed []carawayspread.Instance, target adminapi.Drain) (carawayspread.Instance, bool) {
 	for _, instance := range listed {
 		if target.Instance != "" && instance.ID != target.Instance {
 			continue
--- a/internal/process/fleet/fleet_test.go
+++ b/internal/process/fleet/fleet_test.go
@@ -12,18 +12,18 @@
 	"carawayspread/internal/connection/control"
 )
 
-// peer answers control calls as the instance with that name, or fails.
+// peer responds to control calls as the instance with that ID, or fails.
 type peer struct {
 	control.Control
-	id      string
-	version uint64
-	err     error
-	heard   uint64
-	drained string
+	id               string
+	version          uint64
+	err              error
+	requestedVersion uint64
+	drained          string
 }
 
 func (p *peer) Status(_ context.Context, r *control.StatusRequest) (*control.StatusResponse, error) {
-	p.heard = r.GetConfigVersion()
+	p.requestedVersion = r.GetConfigVersion()
 	return &control.StatusResponse{Instance: p.id, ConfigVersion: p.version}, p.err
 }
 
@@ -32,9 +32,9 @@
 	return &control.DrainResponse{Running: 2}, p.err
 }
 
-// An instance counts as confirmed only if it is the listed one and says that it
-// holds the version. The list lags: its address may belong to another process
-// by now, whose answer would hide an instance that lives elsewhere.
+// Guards against a response of another process that is taken for a confirmation of the listed
+// instance. The list lags, so the address may belong to another process by now, whose response
+// would hide that the listed one runs elsewhere.
 func TestStatusConfirms(t *testing.T) {
 	tests := map[string]struct {
 		peer      peer
@@ -53,12 +53,12 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			f := New(list, func(string) control.Control { return &test.peer })
-			force := f.RolloutStatus(context.Background(), 7)
-			qt.Check(t, force.InForce, qt.Equals, test.confirmed)
+			rollout := f.RolloutStatus(context.Background(), 7)
+			qt.Check(t, rollout.InForce, qt.Equals, test.confirmed)
 			if !test.confirmed {
-				qt.Check(t, force.Unconfirmed[0].Reason, qt.Equals, test.reason)
+				qt.Check(t, rollout.Unconfirmed[0].Reason, qt.Equals, test.reason)
 			}
-			qt.Check(t, test.peer.heard, qt.Equals, uint64(7))
+			qt.Check(t, test.peer.requestedVersion, qt.Equals, uint64(7))
 		})
 	}
 }
--- a/internal/process/watch/watch.go
+++ b/internal/process/watch/watch.go
@@ -1,9 +1,8 @@
 // Package watch follows the platform's instance list.
 //
-// Load pattern: every daemon asks for the list every two seconds; an unchanged
-// list costs one short answer. The list lags behind reality, so it only says
-// whom to ask: that an instance can be reached is learnt by using it. When the
-// list cannot be read, the last one stays in use for as long as that lasts.
+// Every daemon reads the list every two seconds; an unchanged list costs one short response. The
+// list lags behind the actual state, so it only gives the candidates: whether an instance is
+// reachable is found out by calling it. While the list cannot be read, the last one stays in use.
 package watch
 
 import (
@@ -32,18 +31,18 @@
 	failing   bool
 }
 
-// New returns a watch that knows no instance yet.
+// New returns a Watch with an empty list.
 func New(list carawayspread.InstanceList, clock carawayspread.Clock, l log.Interface) *Watch {
 	w := &Watch{list: list, clock: clock, log: l}
 	w.instances.Store(&[]carawayspread.Instance{})
 	return w
 }
 
-// Instances returns the newest known list; not to be modified.
+// Instances returns the newest known list, which must not be modified.
 func (w *Watch) Instances() []carawayspread.Instance { return *w.instances.Load() }
 
-// Run reads the list until ctx ends and calls changed after every change, and
-// once at the start.
+// Run reads the list until ctx ends and calls changed after every change, including the first
+// successful read.
 func (w *Watch) Run(ctx context.Context, changed func([]carawayspread.Instance)) error {
 	for {
 		if w.refresh(ctx) {
@@ -57,13 +56,12 @@
 	}
 }
 
-// refresh reads the list and reports whether it changed. Its calls must not
-// overlap.
+// refresh reads the list and reports whether it changed. Its calls must not overlap.
 func (w *Watch) refresh(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	instances, revision, err := w.list.List(ctx, w.revision)
-	w.note(err)
+	w.logTransition(err)
 	if err != nil || instances == nil || revision == w.revision {
 		return false
 	}
@@ -72,15 +70,16 @@
 	return true
 }
 
-// note logs when the list is lost and when it is back, not every failed read.
-func (w *Watch) note(err error) {
+// logTransition logs when reads of the list start to fail and when they succeed again, not every
+// failed read.
+func (w *Watch) logTransition(err error) {
 	if failing := err != nil; failing != w.failing {
 		w.failing = failing
 		w.log.WithField("failing", failing).Warn("instance list")
 	}
 }
 
-// ControlAddresses returns the control addresses of the live instances of a role.
+// ControlAddresses returns the control addresses of the instances of a role.
 func ControlAddresses(instances []carawayspread.Instance, role carawayspread.InstanceRole) []netip.AddrPort {
 	addresses := []netip.AddrPort{}
 	for _, instance := range instances {
