--- a/internal/daemon/sidecard/daemon.go
+++ b/internal/daemon/sidecard/daemon.go
@@ -44,9 +44,9 @@
 	d.reporter = reporter.New(b.Settings().ID(), b.Clock().Now())
 	d.entries.Store(&[]netip.AddrPort{})
 	s := b.Settings()
-	d.sidecar = sidecar.New(workers(s), sidecar.WithClock(b.Clock()), sidecar.WithLog(b.Log()), sidecar.WithHeard(b.Config().ObserveVersion),
-		sidecar.WithVictims(trial.New(b.Table(), b.Clock(), s.ID()+"/"+uuid.NewString())),
-		sidecar.WithAttempts(attempts.New(b.Clock())))
+	d.sidecar = sidecar.New(workers(s), sidecar.WithClock(b.Clock()), sidecar.WithLog(b.Log()), sidecar.WithVersionObserver(b.Config().ObserveVersion),
+		sidecar.WithCrashRecorder(trial.New(b.Table(), b.Clock(), s.ID()+"/"+uuid.NewString())),
+		sidecar.WithDeduplicator(attempts.New(b.Clock())))
 	var err error
 	if d.data, err = d.base.Listen(s.Listen(), d.sidecar); err != nil {
 		return nil, trace.Wrap(err)
@@ -104,7 +104,7 @@
 func (d *Daemon) listed(instances []carawayspread.Instance) {
 	entries := watch.ControlAddresses(instances, carawayspread.InstanceEntry)
 	if old := d.entries.Swap(&entries); !slices.Equal(*old, entries) {
-		d.reporter.Renew()
+		d.reporter.ForceFull()
 	}
 	d.sidecars.Store(int64(len(watch.ControlAddresses(instances, carawayspread.InstanceSidecar))))
 	for _, instance := range instances {
--- a/internal/process/follower/follower.go
+++ b/internal/process/follower/follower.go
@@ -164,7 +164,8 @@
 }
 
 // applyConfirmation reports whether the peer holds the same contents as this process, and if so
-// takes over its confirmation of them.
+// takes over its confirmation of them. It records the peer's reading of the store's clock in any
+// case.
 func (f *Follower) applyConfirmation(r peerReport) bool {
 	own := f.source.Status(r.resource)
 	f.mu.Lock()
--- a/internal/process/follower/follower_test.go
+++ b/internal/process/follower/follower_test.go
@@ -177,9 +177,9 @@
 func (n *node) AskTime(_ context.Context, peer string) error {
 	asked := n.uptime.Uptime()
 	time.Sleep(2 * time.Millisecond)
-	stamp, _ := n.cl.byName(peer).clock.Now()
+	storeTime, _ := n.cl.byName(peer).clock.Now()
 	time.Sleep(2 * time.Millisecond)
-	n.clock.Observe(asked, stamp)
+	n.clock.Observe(asked, storeTime)
 	return nil
 }
 
--- a/internal/process/reporter/reporter.go
+++ b/internal/process/reporter/reporter.go
@@ -1,9 +1,9 @@
-// Package reporter makes the load reports of a sidecar: most carry the load
-// alone, and a full one with what seldom changes comes now and then.
+// Package reporter builds the load reports of a sidecar. Most are partial and carry only the load;
+// full reports, sent periodically and after a change, also carry the endpoint states, which seldom
+// change.
 //
-// Grounds for its figures: four endpoints take 70 bytes in a partial report and
-// 120 or more in a full one. With a full one in six an entry that lost one is
-// without the sidecar's load for at most five reports.
+// Four endpoints take 70 bytes in a partial report and 120 or more in a full one. With one full
+// report in six, an entry that lost a full report lacks the sidecar's load for at most five reports.
 package reporter
 
 import (
@@ -20,57 +20,57 @@
 )
 
 const (
-	// fullEvery is the number of reports among which one is full.
-	fullEvery = 6
-	// repeats is how many full reports in a row tell of a change, since one
-	// may be lost.
-	repeats = 2
-	// rateChange is the part by which a measured rate must change to be told
-	// before the next full report; rates swing with every prompt.
-	rateChange = 0.2
+	// reportsPerFull is the number of reports of which at least one is full.
+	reportsPerFull = 6
+	// fullRepeats is how many full reports are sent in a row after a change, since one may be
+	// lost.
+	fullRepeats = 2
+	// rateTolerance is the relative change of a measured rate that does not trigger a full report.
+	// Rates vary with every prompt.
+	rateTolerance = 0.2
 )
 
-// Reporter makes the reports of one sidecar. It is safe for concurrent use.
+// Reporter builds the reports of one sidecar. It is safe for concurrent use.
 type Reporter struct {
 	instance string
 
-	mu        sync.Mutex
-	sequence  uint64 // of the last report; starts at the time of the start
-	sinceFull uint32 // reports since the full one
-	owed      int    // full reports that are still to be sent at once
-	told      []*control.EndpointState
-	fullBytes int // size of the last full report; zero before the first
-	loadBytes int // size of the last report without endpoints
+	mu          sync.Mutex
+	sequence    uint64 // of the last report; starts at the start time in milliseconds
+	sinceFull   uint32 // reports since the last full one
+	pendingFull int    // full reports to be sent next
+	lastFull    []*control.EndpointState
+	fullBytes   int // size of the last full report; zero before the first
+	loadBytes   int // size of the last report without endpoints
 }
 
-// New returns the reporter of an instance that starts now. A sidecar that is
-// started again counts on above its predecessor, which made fewer than a
-// thousand reports a second.
+// New returns the reporter of an instance that starts now. The sequence numbers of a restarted
+// sidecar continue above those of its predecessor, as that sent fewer than a thousand reports a
+// second.
 func New(instance string, now time.Time) *Reporter {
-	return &Reporter{instance: instance, sequence: uint64(now.UnixMilli()), owed: repeats}
+	return &Reporter{instance: instance, sequence: uint64(now.UnixMilli()), pendingFull: fullRepeats}
 }
 
-// Renew makes the next reports full ones, for entries that are new.
-func (r *Reporter) Renew() {
+// ForceFull makes the next reports full ones. It is called when entries have joined.
+func (r *Reporter) ForceFull() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.owed = repeats
+	r.pendingFull = fullRepeats
 }
 
-// Next returns the next report. The loads are always in the same order.
-func (r *Reporter) Next(loads []*control.EndpointLoad, held carawayspread.Version, draining bool) *control.LoadReport {
-	next := &control.LoadReport{Instance: r.instance, ConfigVersion: uint64(held), Draining: draining}
+// Next returns the next report. The loads must always be in the same order.
+func (r *Reporter) Next(loads []*control.EndpointLoad, version carawayspread.Version, draining bool) *control.LoadReport {
+	next := &control.LoadReport{Instance: r.instance, ConfigVersion: uint64(version), Draining: draining}
 	addLoads(next, loads)
 	states := statesOf(loads)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sequence++
 	next.Sequence = r.sequence
-	if !slices.EqualFunc(r.told, states, same) {
-		r.owed = repeats
+	if !slices.EqualFunc(r.lastFull, states, unchanged) {
+		r.pendingFull = fullRepeats
 	}
 	r.loadBytes = report.Size(next)
-	if r.owed > 0 || r.sinceFull+1 >= fullEvery {
+	if r.pendingFull > 0 || r.sinceFull+1 >= reportsPerFull {
 		r.makeFull(next, states)
 		return next
 	}
@@ -82,32 +82,32 @@
 // makeFull makes the report a full one. The caller holds mu.
 func (r *Reporter) makeFull(next *control.LoadReport, states []*control.EndpointState) {
 	next.Endpoints = states
-	r.told = states
+	r.lastFull = states
 	r.sinceFull = 0
-	r.owed = max(0, r.owed-1)
+	r.pendingFull = max(0, r.pendingFull-1)
 	r.fullBytes = report.Size(next)
 }
 
-// Bytes returns the mean size of the reports on the network.
+// Bytes returns the mean size of a report in bytes.
 func (r *Reporter) Bytes() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return (r.fullBytes + (fullEvery-1)*r.loadBytes) / fullEvery
+	return (r.fullBytes + (reportsPerFull-1)*r.loadBytes) / reportsPerFull
 }
 
 func addLoads(to *control.LoadReport, loads []*control.EndpointLoad) {
-	waits, flagged := false, false
+	anyWaiting, anyFlags := false, false
 	for _, load := range loads {
 		to.Running = append(to.Running, load.GetRunning())
 		to.Waiting = append(to.Waiting, load.GetWaiting())
 		to.Flags = append(to.Flags, flagOf(load))
-		waits = waits || load.GetWaiting() > 0
-		flagged = flagged || flagOf(load) != control.EndpointFlag_ENDPOINT_FLAG_NONE
+		anyWaiting = anyWaiting || load.GetWaiting() > 0
+		anyFlags = anyFlags || flagOf(load) != control.EndpointFlag_ENDPOINT_FLAG_NONE
 	}
-	if !waits {
+	if !anyWaiting {
 		to.Waiting = nil
 	}
-	if !flagged {
+	if !anyFlags {
 		to.Flags = nil
 	}
 }
@@ -138,16 +138,16 @@
 	return states
 }
 
-// same reports whether the next full report may be waited for.
-func same(told, state *control.EndpointState) bool {
-	if !near(told.GetPrefillRate(), state.GetPrefillRate()) || !near(told.GetDecodeRate(), state.GetDecodeRate()) {
+// unchanged reports whether the state can wait for the next periodic full report.
+func unchanged(last, state *control.EndpointState) bool {
+	if !withinTolerance(last.GetPrefillRate(), state.GetPrefillRate()) || !withinTolerance(last.GetDecodeRate(), state.GetDecodeRate()) {
 		return false
 	}
 	compared := proto.CloneOf(state)
-	compared.PrefillRate, compared.DecodeRate = told.GetPrefillRate(), told.GetDecodeRate()
-	return proto.Equal(told, compared)
+	compared.PrefillRate, compared.DecodeRate = last.GetPrefillRate(), last.GetDecodeRate()
+	return proto.Equal(last, compared)
 }
 
-func near(told, rate float32) bool {
-	return math.Abs(float64(rate-told)) <= rateChange*math.Abs(float64(told))
+func withinTolerance(last, rate float32) bool {
+	return math.Abs(float64(rate-last)) <= rateTolerance*math.Abs(float64(last))
 }
