--- a/internal/connection/adminapi/wire.go
+++ b/internal/connection/adminapi/wire.go
@@ -76,7 +76,7 @@
 // Workspaces answers workspace list and workspace show.
 type Workspaces struct {
 	Version    carawayspread.Version `json:"version"`
-	Workspaces []change.Named        `json:"workspaces"`
+	Workspaces []change.Workspace    `json:"workspaces"`
 }
 
 // Services answers service list.
--- a/internal/daemon/gatewayd/daemon.go
+++ b/internal/daemon/gatewayd/daemon.go
@@ -116,9 +116,9 @@
 		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 	d.gateway = gateway.New(ports.Exchange, ports.Protocol, d.placer, clock, d.lines,
-		gateway.WithConfigFreshness(evidence{d}, s.Revoked(), s.Terms().ConfigApply),
+		gateway.WithConfigFreshness(evidence{d}, s.RevocationBound(), s.Bounds().ConfigApply),
 		gateway.WithUsage(d.began),
-		gateway.WithRetryBudget(s.Budget(), d.peers.FleetSize),
+		gateway.WithRetryBudget(s.RetryLimits(), d.peers.FleetSize),
 		gateway.WithFeedback(d.peers.BroadcastFeedback, d.peers.Membership),
 		gateway.WithListAge(func() time.Duration {
 			age, _ := d.rota.Age(carawayspread.ResourceEndpoints)
@@ -140,7 +140,7 @@
 // follow prepares the learning of routes and endpoints.
 func (d *Daemon) follow(ports Ports) {
 	s := d.settings
-	d.rota = zonereader.New(d.peers.ID(), s.Zone(), s.Capacity(), s.Terms(), d.clock)
+	d.rota = zonereader.New(d.peers.ID(), s.Zone(), s.Capacity(), s.Bounds(), d.clock)
 	d.follower = follower.New(ports.Source(d), d.rota, s.Zone(), s.Capacity(), d.peers.Announce, d.clock, ports.StoreTime)
 	d.peers.SetStatusFunc(d.presence)
 	d.learner = knowledge.New(d.follower, d.peers.PeerAddresses, d.clock, d.log, d.gateway.Metrics(),
@@ -207,7 +207,7 @@
 		d.log.WithField("rolePolicy", d.settings.RolePolicy()).Warn("unknown role policy, the default is used")
 		policy, _ = carawayspread.RolePolicies.Get(gatewaysettings.RolesBalanced)
 	}
-	if !knows || d.settings.RolePolicy() == gatewaysettings.RolesAsFound {
+	if !knows || d.settings.RolePolicy() == gatewaysettings.RolesStatic {
 		return
 	}
 	env := carawayspread.Environment{Clock: d.clock, Zone: d.settings.Zone()}
@@ -295,7 +295,7 @@
 	run(func(ctx context.Context) error { return d.follower.RunPulls(ctx, d.learner) })
 	run(d.learner.Run)
 	endReports, endCounts := d.runUsage(work)
-	if d.settings.Revoked() > 0 || d.usage != nil {
+	if d.settings.RevocationBound() > 0 || d.usage != nil {
 		run(func(ctx context.Context) error { return d.follower.RunStoreClock(ctx, d.learner) })
 	}
 	if d.keeper != nil {
--- a/internal/daemon/gatewayd/usage.go
+++ b/internal/daemon/gatewayd/usage.go
@@ -36,15 +36,15 @@
 	if s == nil || ports.Usage == nil {
 		return
 	}
-	servesAlone := d.settings.Revoked()
+	servesAlone := d.settings.RevocationBound()
 	if servesAlone == 0 {
 		servesAlone = time.Minute // a process that nobody hears serves on
 	}
 	ledger := usage.New(d.peers.ID())
 	d.usage = &usageDuty{
-		terms: s.Terms(), ledger: ledger,
-		publisher: usagepublisher.New(ledger, d.peers, s.Terms(), d.trueTime.Now, d.clock),
-		reporter: usagereporter.New(d.settings.ID(), s.Terms(), usagereporter.Deps{
+		terms: s.Windows(), ledger: ledger,
+		publisher: usagepublisher.New(ledger, d.peers, s.Windows(), d.trueTime.Now, d.clock),
+		reporter: usagereporter.New(d.settings.ID(), s.Windows(), usagereporter.Deps{
 			Ledger: ledger, Fleet: d.peers, Sink: ports.Usage, Table: ports.Table, Uptime: ports.Uptime,
 			TrueTime: d.trueTime.Now, Workspaces: d.workspaces, ServesAlone: servesAlone,
 			Backoff: backoff.New(d.clock, reportRetryBase, reportRetryLimit),
--- a/internal/process/admin/admin.go
+++ b/internal/process/admin/admin.go
@@ -31,7 +31,7 @@
 	Append(ctx context.Context, p changelog.Proposal) (record.Record, *carawayspread.Config, error)
 	History(ctx context.Context, after carawayspread.Version) ([]record.Record, error)
 	Audit(ctx context.Context, day time.Time, after string) ([]auditrecord.AuditRecord, string, error)
-	Note(ctx context.Context, line auditrecord.AuditRecord) error
+	WriteAudit(ctx context.Context, line auditrecord.AuditRecord) error
 }
 
 // Holder holds the configuration of this process.
--- a/internal/process/admin/kinds.go
+++ b/internal/process/admin/kinds.go
@@ -42,9 +42,9 @@
 type workspaces struct{}
 
 func (workspaces) list(cfg *carawayspread.Config) any {
-	answer := adminapi.Workspaces{Version: cfg.Version(), Workspaces: []change.Named{}}
+	answer := adminapi.Workspaces{Version: cfg.Version(), Workspaces: []change.Workspace{}}
 	for _, workspace := range cfg.Workspaces() {
-		answer.Workspaces = append(answer.Workspaces, change.Named{Name: workspace.Name()})
+		answer.Workspaces = append(answer.Workspaces, change.Workspace{Name: workspace.Name()})
 	}
 	return answer
 }
@@ -53,7 +53,7 @@
 	if _, ok := cfg.Workspace(name); !ok {
 		return nil, missing("workspace", name)
 	}
-	return adminapi.Workspaces{Version: cfg.Version(), Workspaces: []change.Named{{Name: name}}}, nil
+	return adminapi.Workspaces{Version: cfg.Version(), Workspaces: []change.Workspace{{Name: name}}}, nil
 }
 
 func (workspaces) set(name string, body []byte) *change.Change { return one("workspaces", name, body) }
--- a/internal/process/admin/read.go
+++ b/internal/process/admin/read.go
@@ -17,7 +17,7 @@
 	cfg := a.holder.Current(r.Context())
 	age, _ := a.holder.Staleness()
 	return adminapi.Configuration{
-		Version: cfg.Version(), EvidenceAgeMs: age.Milliseconds(), Config: change.Of(cfg),
+		Version: cfg.Version(), EvidenceAgeMs: age.Milliseconds(), Config: change.FromConfig(cfg),
 	}, nil
 }
 
@@ -96,7 +96,7 @@
 			line.Verdict = auditrecord.Refused
 		}
 	}
-	if noteErr := a.log.Note(r.Context(), line); noteErr != nil {
+	if noteErr := a.log.WriteAudit(r.Context(), line); noteErr != nil {
 		a.logger.WithField("actor", actor).WithError(noteErr).Warn("admin.auditUnwritten")
 	}
 	if err != nil {
--- a/internal/process/operator/session_test.go
+++ b/internal/process/operator/session_test.go
@@ -96,7 +96,7 @@
 	clock := &leaping{now: time.Date(2026, 12, 2, 9, 30, 0, 0, time.UTC)}
 	attempts := 0
 	configLog := changelog.New(tableClient, storeClient, clock, changelog.WithLogger(quiet),
-		changelog.WithAttempts(func() string { attempts++; return fmt.Sprintf("attempt-%d", attempts) }))
+		changelog.WithTokens(func() string { attempts++; return fmt.Sprintf("attempt-%d", attempts) }))
 	entry := &daemon{id: "entry-1", syncer: confsync.New(configLog, clock, confsync.WithLogger(quiet))}
 	s.sidecar = &daemon{id: "sidecar-1", syncer: entry.syncer}
 
--- a/internal/process/operator/values.go
+++ b/internal/process/operator/values.go
@@ -89,7 +89,7 @@
 		Usage: "groups that share the fleet",
 		Subcommands: []*cli.Command{
 			command("set", "add a workspace", "NAME", setHelp, changeFlags(), func(c *cli.Context) error {
-				return set(c, "workspace", change.Named{Name: c.Args().First()})
+				return set(c, "workspace", change.Workspace{Name: c.Args().First()})
 			}),
 			command("list", "list all workspaces", "", "", commonFlags(), listWorkspaces),
 			command("show", "show one workspace", "NAME", "", commonFlags(), func(c *cli.Context) error {
--- a/internal/version/change/change.go
+++ b/internal/version/change/change.go
@@ -81,8 +81,8 @@
 	return func(c *Change) { c.delete.Services = append(c.delete.Services, name) }
 }
 
-// Of returns the change that makes the configuration out of an empty one.
-func Of(cfg *carawayspread.Config) *Change {
+// FromConfig returns the change that makes the configuration out of an empty one.
+func FromConfig(cfg *carawayspread.Config) *Change {
 	return &Change{set: values{
 		classes:    cfg.Classes(),
 		workspaces: cfg.Workspaces(),
--- a/internal/version/change/change_test.go
+++ b/internal/version/change/change_test.go
@@ -42,8 +42,8 @@
 
 	undone, err := c.Inverse(old).Apply(next)
 	qt.Assert(t, err, qt.IsNil)
-	want, _ := json.Marshal(Of(old))
-	got, _ := json.Marshal(Of(undone))
+	want, _ := json.Marshal(FromConfig(old))
+	got, _ := json.Marshal(FromConfig(undone))
 	qt.Check(t, string(got), qt.Equals, string(want))
 }
 
@@ -114,7 +114,7 @@
 		qt.Assert(t, json.Unmarshal(stored, again), qt.IsNil)
 		repeated, err := again.Apply(cfg)
 		qt.Assert(t, err, qt.IsNil)
-		qt.Check(t, Of(repeated).Stored(), qt.DeepEquals, Of(next).Stored())
+		qt.Check(t, FromConfig(repeated).Stored(), qt.DeepEquals, FromConfig(next).Stored())
 	})
 }
 
@@ -158,7 +158,7 @@
 func BenchmarkParse(b *testing.B) {
 	for _, n := range []int{10, 1000, 6800} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
-			body, _ := json.Marshal(Of(sample(n)))
+			body, _ := json.Marshal(FromConfig(sample(n)))
 			b.ReportAllocs()
 			for b.Loop() {
 				if err := json.Unmarshal(body, &Change{}); err != nil {
@@ -185,7 +185,7 @@
 		}
 		b.ReportMetric(float64(heap()-before)/n, "B/class")
 		runtime.KeepAlive(classes)
-		snapshot, _ := json.Marshal(Of(cfg))
+		snapshot, _ := json.Marshal(FromConfig(cfg))
 		b.ReportMetric(float64(len(snapshot))/n, "snapshot-B/workspace")
 		class, _ := cfg.Class("rulings")
 		stored, _ := json.Marshal(New(SetClass(class)))
--- a/internal/version/change/check.go
+++ b/internal/version/change/check.go
@@ -40,7 +40,7 @@
 }
 
 func (k *checker) unread(path string) bool {
-	return k.change.read.At(k.change.place(path).Path)
+	return k.change.read.HasPath(k.change.place(path).Path)
 }
 
 func (k *checker) classes() {
--- a/internal/version/change/codec.go
+++ b/internal/version/change/codec.go
@@ -17,9 +17,9 @@
 }
 
 type wireValues struct {
-	Classes    []Class   `json:"classes,omitempty"`
-	Workspaces []Named   `json:"workspaces,omitempty"`
-	Services   []Service `json:"services,omitempty"`
+	Classes    []Class     `json:"classes,omitempty"`
+	Workspaces []Workspace `json:"workspaces,omitempty"`
+	Services   []Service   `json:"services,omitempty"`
 }
 
 // Class is the JSON form of a class.
@@ -32,8 +32,8 @@
 	AtMostOnce    bool    `json:"atMostOnce,omitempty"`
 }
 
-// Named is the JSON form of a workspace.
-type Named struct {
+// Workspace is the JSON form of a workspace.
+type Workspace struct {
 	Name string `json:"name"`
 }
 
@@ -84,7 +84,7 @@
 			wire.Set.Classes = append(wire.Set.Classes, WireClass(class))
 		}
 		for _, workspace := range c.set.workspaces {
-			wire.Set.Workspaces = append(wire.Set.Workspaces, Named{Name: workspace.Name()})
+			wire.Set.Workspaces = append(wire.Set.Workspaces, Workspace{Name: workspace.Name()})
 		}
 		for _, service := range c.set.services {
 			wire.Set.Services = append(wire.Set.Services, WireService(service))
--- a/internal/version/changelog/append.go
+++ b/internal/version/changelog/append.go
@@ -231,9 +231,9 @@
 	return carawayspread.Write{Item: carawayspread.Item{Key: key, Token: line.Attempt, Body: body}}, err
 }
 
-// Note writes the audit record of an action that is not a change of the
+// WriteAudit writes the audit record of an action that is not a change of the
 // configuration.
-func (l *Log) Note(ctx context.Context, line auditrecord.AuditRecord) error {
+func (l *Log) WriteAudit(ctx context.Context, line auditrecord.AuditRecord) error {
 	line.At = l.clock.Now().UTC()
 	line.Attempt = l.newAttempt()
 	write, err := noteWrite(line)
--- a/internal/version/changelog/log.go
+++ b/internal/version/changelog/log.go
@@ -57,8 +57,8 @@
 // WithTimeout bounds one request to the platform.
 func WithTimeout(d time.Duration) Option { return func(l *Log) { l.timeout = d } }
 
-// WithAttempts sets where the tokens of attempts come from.
-func WithAttempts(next func() string) Option { return func(l *Log) { l.newAttempt = next } }
+// WithTokens sets where the tokens of attempts come from.
+func WithTokens(next func() string) Option { return func(l *Log) { l.newAttempt = next } }
 
 // WithLogger sets where events are logged.
 func WithLogger(logger log.Interface) Option { return func(l *Log) { l.logger = logger } }
--- a/internal/version/changelog/log_test.go
+++ b/internal/version/changelog/log_test.go
@@ -297,7 +297,7 @@
 		gates[i] = &turnstile{Table: p.table, arrived: make(chan struct{}), pass: make(chan struct{})}
 		running.Go(func() {
 			defer close(gates[i].arrived)
-			l := New(gates[i], p.objects, instant{}, WithAttempts(func() string { return actor }))
+			l := New(gates[i], p.objects, instant{}, WithTokens(func() string { return actor }))
 			_, _, results[i] = l.Append(context.Background(), proposal(actor, 0))
 		})
 	}
--- a/internal/version/document/values.go
+++ b/internal/version/document/values.go
@@ -111,8 +111,8 @@
 	return text
 }
 
-// Literal returns a string without a check; ok is false where there is none.
-func (n Node) Literal() (text string, ok bool) {
+// UncheckedText returns a string without a check; ok is false where there is none.
+func (n Node) UncheckedText() (text string, ok bool) {
 	if !n.Exists() {
 		return "", false
 	}
--- a/internal/version/finding/finding.go
+++ b/internal/version/finding/finding.go
@@ -46,8 +46,8 @@
 	*l = append(*l, Finding{Place: place, Message: fmt.Sprintf(format, args...)})
 }
 
-// At reports whether a finding stands at the path.
-func (l List) At(path string) bool {
+// HasPath reports whether a finding has the path.
+func (l List) HasPath(path string) bool {
 	return slices.ContainsFunc(l, func(f Finding) bool { return f.Path == path })
 }
 
--- a/internal/version/gatewaysettings/settings.go
+++ b/internal/version/gatewaysettings/settings.go
@@ -49,13 +49,13 @@
 // Address returns IP number and port that take the reports.
 func (u *Usage) Address() string { return u.address }
 
-// Terms returns the windows and when their reports are due.
-func (u *Usage) Terms() carawayspread.UsageWindows { return u.terms }
+// Windows returns the windows and when their reports are due.
+func (u *Usage) Windows() carawayspread.UsageWindows { return u.terms }
 
-// Role policies that have a meaning here: RolesAsFound changes none, and
+// Role policies that have a meaning here: RolesStatic changes none, and
 // RolesBalanced is the default.
 const (
-	RolesAsFound  = "static"
+	RolesStatic   = "static"
 	RolesBalanced = "balance"
 )
 
@@ -176,12 +176,12 @@
 // Usage returns where usage is reported; nil where it is not.
 func (s *Settings) Usage() *Usage { return s.usage }
 
-// Terms returns what operators are promised.
-func (s *Settings) Terms() zonereader.Bounds { return s.terms }
+// Bounds returns what operators are promised.
+func (s *Settings) Bounds() zonereader.Bounds { return s.terms }
 
-// Revoked returns the time in which a revoked API key must have stopped everywhere;
+// RevocationBound returns the time in which a revoked API key must have stopped everywhere;
 // zero where none is promised.
-func (s *Settings) Revoked() time.Duration { return s.revoked }
+func (s *Settings) RevocationBound() time.Duration { return s.revoked }
 
 // Capacity returns what the instance can carry, to be compared with others:
 // thousandths of a core times megabits a second, so that neither alone decides.
@@ -220,8 +220,8 @@
 // Memory returns the bytes that the process may use.
 func (s *Settings) Memory() int64 { return s.memory }
 
-// Budget returns what may be sent beyond first attempts.
-func (s *Settings) Budget() fleetbudget.Limits { return s.budget }
+// RetryLimits returns what may be sent beyond first attempts.
+func (s *Settings) RetryLimits() fleetbudget.Limits { return s.budget }
 
 // RolePolicy returns the name of a registered role policy.
 func (s *Settings) RolePolicy() string { return s.roles }
--- a/internal/version/gatewaysettings/settings_test.go
+++ b/internal/version/gatewaysettings/settings_test.go
@@ -23,15 +23,15 @@
 	qt.Check(t, s.Seeds(), qt.DeepEquals, []string{"10.0.0.2:3"})
 	qt.Check(t, s.Grace(), qt.Equals, 8*time.Second)
 	qt.Check(t, s.Memory(), qt.Equals, int64(284<<20))
-	qt.Check(t, s.Budget().Ratio, qt.Equals, 0.2)
+	qt.Check(t, s.RetryLimits().Ratio, qt.Equals, 0.2)
 	qt.Check(t, s.Placement(), qt.Equals, "estimate")
-	qt.Check(t, s.Terms().Drain, qt.Equals, 2*time.Second)
+	qt.Check(t, s.Bounds().Drain, qt.Equals, 2*time.Second)
 
 	s, err = Parse("gateway.jsonc", []byte(strings.Replace(good, `"store"`,
 		`"limits": {"cores": 0.144, "linkMegabits": 20.0}, "promises": {"leaving": "4000ms", "inForce": "3s"}, "store"`, 1)))
 	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, s.Terms().Drain, qt.Equals, 4*time.Second)
-	qt.Check(t, s.Terms().ConfigApply, qt.Equals, 3*time.Second)
+	qt.Check(t, s.Bounds().Drain, qt.Equals, 4*time.Second)
+	qt.Check(t, s.Bounds().ConfigApply, qt.Equals, 3*time.Second)
 	qt.Check(t, s.Capacity(), qt.Equals, uint32(2880))
 }
 
@@ -70,7 +70,7 @@
 		if err != nil {
 			return
 		}
-		if s.Listen() == "" || s.Store() == "" || s.Grace() <= 0 || s.Memory() <= 0 || s.Budget().Window <= 0 || s.Budget().Ratio < 0 {
+		if s.Listen() == "" || s.Store() == "" || s.Grace() <= 0 || s.Memory() <= 0 || s.RetryLimits().Window <= 0 || s.RetryLimits().Ratio < 0 {
 			t.Fatalf("accepted: %s", text)
 		}
 	})
--- a/internal/version/settings/parse.go
+++ b/internal/version/settings/parse.go
@@ -223,7 +223,7 @@
 // distinct reports a string that an earlier node holds. Port 0 is never a
 // duplicate, since it stands for any free port.
 func distinct(node document.Node, seen map[string]string) {
-	text, ok := node.Literal()
+	text, ok := node.UncheckedText()
 	if !ok {
 		return
 	}
--- a/internal/version/snapshot/snapshot.go
+++ b/internal/version/snapshot/snapshot.go
@@ -19,7 +19,7 @@
 
 // Encode returns the JSON form of a configuration.
 func Encode(cfg *carawayspread.Config) ([]byte, error) {
-	stored := change.Of(cfg).Stored()
+	stored := change.FromConfig(cfg).Stored()
 	body, err := json.Marshal(Snapshot{Version: cfg.Version(), Config: &stored})
 	return body, trace.Wrap(err)
 }
