--- a/internal/version/changelog/append.go
+++ b/internal/version/changelog/append.go
@@ -17,36 +17,35 @@
 	"carawayspread/internal/version/snapshot"
 )
 
-// maxChangeBytes keeps a change, and its audit record with old and new values,
-// each within one item of the table service.
+// maxChangeBytes bounds an encoded record so that it fits into one item of the table service, and
+// so does its audit record, which holds the old and the new values.
 const maxChangeBytes = 24 << 10
 
-// Proposal is a change that an operator asks for.
+// Proposal is a change requested by an operator.
 type Proposal struct {
 	Change  *change.Change
 	Against carawayspread.Version // the version that the operator saw
 	Actor   string
-	// Held is the newest configuration that this process holds; it saves reads.
+	// Held is the newest configuration that this process holds; only later changes are read.
 	Held *carawayspread.Config
 }
 
-// attempt is one proposal on its way into the log.
+// attempt is one proposal that is being appended.
 type attempt struct {
 	Proposal
 	token string
 	at    time.Time
-	base  *carawayspread.Config // the newest, as read at the start
+	base  *carawayspread.Config // the newest configuration, as read at the start
 }
 
-// Append has the proposal accepted as the version after the one that it was
-// made against and returns its record and the configuration that it makes.
-// Every error is a *Refusal.
+// Append writes the proposal as the version after the one that it was made against, and returns its
+// record and the resulting configuration. Every error is a *Refusal.
 func (l *Log) Append(ctx context.Context, p Proposal) (record.Record, *carawayspread.Config, error) {
-	a := &attempt{Proposal: p, token: l.newAttempt(), at: l.clock.Now().UTC()}
+	a := &attempt{Proposal: p, token: l.newToken(), at: l.clock.Now().UTC()}
 	accepted, cfg, refusal := l.append(ctx, a)
 	if refusal != nil {
 		refusal.attempt = a.token
-		l.refused(ctx, a, refusal)
+		l.recordRefusal(ctx, a, refusal)
 		return record.Record{}, nil, refusal
 	}
 	l.logger.WithFields(log.Fields{
@@ -91,7 +90,7 @@
 	return finding.List{{Message: err.Error()}}
 }
 
-// writes returns the two items of an accepted change.
+// writes returns the two items of an accepted change: the change and its audit record.
 func (l *Log) writes(a *attempt, r record.Record) ([]carawayspread.Write, error) {
 	body, err := r.Encode()
 	if err != nil {
@@ -100,7 +99,7 @@
 	if len(body) > maxChangeBytes {
 		return nil, trace.BadParameter("the change has %d bytes, more than %d; make it in parts", len(body), maxChangeBytes)
 	}
-	audit, err := auditWrite(a, auditrecord.AuditRecord{
+	audit, err := attemptAuditWrite(a, auditrecord.AuditRecord{
 		Verdict: auditrecord.Accepted,
 		Version: r.Version,
 		From:    a.Change.Inverse(a.base),
@@ -113,18 +112,18 @@
 	return []carawayspread.Write{{Item: item}, audit}, nil
 }
 
-// commit puts the items if they are absent. The answer to a write may be lost
-// after the write took effect; what then stands under the key tells: this
-// attempt's token, accepted; another's, beaten, since no item is replaced;
-// nothing, the write may still arrive, so that it is put again under the same
-// token and condition, which cannot take effect twice.
+// commit puts the items if they are absent. The answer to a write may be lost after the write took
+// effect; commit then reads the item of the version. With the token of this attempt, the change was
+// accepted. With another token, another attempt holds the version, since no item is replaced. With
+// no item, the write may still arrive, so that it is repeated with the same token and condition,
+// which cannot take effect twice.
 func (l *Log) commit(ctx context.Context, a *attempt, version carawayspread.Version, writes []carawayspread.Write) *Refusal {
-	// An operator who stops waiting does not withdraw the change.
+	// The change is not cancelled when the operator stops waiting.
 	ctx = context.WithoutCancel(ctx)
 	var lost error
-	for try := range l.tries {
-		if try > 0 {
-			<-l.clock.After(l.pause)
+	for n := range l.maxWrites {
+		if n > 0 {
+			<-l.clock.After(l.writeRetryDelay)
 		}
 		err := l.apply(ctx, writes)
 		switch {
@@ -155,7 +154,7 @@
 	return l.table.Apply(ctx, writes...)
 }
 
-// tokenOf returns the attempt that wrote a version.
+// tokenOf returns the token of the attempt that wrote a version; an absent version is an error.
 func (l *Log) tokenOf(ctx context.Context, version carawayspread.Version) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.timeout)
 	defer cancel()
@@ -167,8 +166,8 @@
 	return carawayspread.Key{Partition: partitionConfig, Sort: sortKey(version)}
 }
 
-// conflict tells what was accepted since the version that the operator saw. The
-// verdict stands even where that cannot be read.
+// conflict returns a refusal with the changes accepted since the version that the operator saw. It
+// is a conflict even where these cannot be read.
 func (l *Log) conflict(ctx context.Context, a *attempt) *Refusal {
 	current := a.base.Version()
 	if a.Against == current {
@@ -181,9 +180,10 @@
 	return conflict(a.Against, current, since)
 }
 
-// refused writes the audit record of a refusal. It is not part of the verdict:
-// where the store is down, the log line is what remains.
-func (l *Log) refused(ctx context.Context, a *attempt, refusal *Refusal) {
+// recordRefusal logs a refusal and writes its audit record, unless the store is unavailable or the
+// outcome is unknown: then only the log line remains. A failure to write it does not change the
+// answer to the operator.
+func (l *Log) recordRefusal(ctx context.Context, a *attempt, refusal *Refusal) {
 	l.logger.WithFields(log.Fields{
 		"code": refusal.err.Code(), "actor": a.Actor, "attempt": a.token, "against": a.Against,
 	}).WithError(refusal).Warn("config.refused")
@@ -195,7 +195,7 @@
 	if len(refusal.findings) > 0 {
 		reason = fmt.Sprintf("%s: %s", reason, refusal.findings.Error())
 	}
-	write, err := auditWrite(a, auditrecord.AuditRecord{
+	write, err := attemptAuditWrite(a, auditrecord.AuditRecord{
 		Verdict: auditrecord.Refused,
 		Code:    code,
 		Reason:  reason,
@@ -209,41 +209,41 @@
 	}
 }
 
-// auditWrite fills in what all audit records of an attempt share.
-func auditWrite(a *attempt, line auditrecord.AuditRecord) (carawayspread.Write, error) {
-	line.At = a.at
-	line.Actor = a.Actor
-	line.Attempt = a.token
-	line.Action = auditrecord.Change
-	line.Against = a.Against
-	line.Touches = a.Change.Touches()
-	return noteWrite(line)
+// attemptAuditWrite sets the fields that all audit records of an attempt share.
+func attemptAuditWrite(a *attempt, r auditrecord.AuditRecord) (carawayspread.Write, error) {
+	r.At = a.at
+	r.Actor = a.Actor
+	r.Attempt = a.token
+	r.Action = auditrecord.Change
+	r.Against = a.Against
+	r.Touches = a.Change.Touches()
+	return auditRecordWrite(r)
 }
 
-// noteWrite puts an audit record. The key holds the token of the attempt, so
-// that a repeated transaction meets its own record.
-func noteWrite(line auditrecord.AuditRecord) (carawayspread.Write, error) {
-	body, err := line.Encode()
+// auditRecordWrite returns the write of an audit record. The key contains the token of the attempt,
+// so that a repeated transaction has the key of its own record.
+func auditRecordWrite(r auditrecord.AuditRecord) (carawayspread.Write, error) {
+	body, err := r.Encode()
 	key := carawayspread.Key{
-		Partition: auditPartition(line.At),
-		Sort:      fmt.Sprintf("%020d-%s", line.At.UnixNano(), line.Attempt),
+		Partition: auditPartition(r.At),
+		Sort:      fmt.Sprintf("%020d-%s", r.At.UnixNano(), r.Attempt),
 	}
-	return carawayspread.Write{Item: carawayspread.Item{Key: key, Token: line.Attempt, Body: body}}, err
+	return carawayspread.Write{Item: carawayspread.Item{Key: key, Token: r.Attempt, Body: body}}, err
 }
 
 // WriteAudit writes the audit record of an action that is not a change of the
 // configuration.
-func (l *Log) WriteAudit(ctx context.Context, line auditrecord.AuditRecord) error {
-	line.At = l.clock.Now().UTC()
-	line.Attempt = l.newAttempt()
-	write, err := noteWrite(line)
+func (l *Log) WriteAudit(ctx context.Context, r auditrecord.AuditRecord) error {
+	r.At = l.clock.Now().UTC()
+	r.Attempt = l.newToken()
+	write, err := auditRecordWrite(r)
 	if err != nil {
 		return err
 	}
 	return trace.Wrap(l.apply(ctx, []carawayspread.Write{write}))
 }
 
-// snapshot stores the configuration where its version is due.
+// snapshot stores the configuration if its version is a multiple of snapshotEvery.
 func (l *Log) snapshot(ctx context.Context, cfg *carawayspread.Config) {
 	if cfg.Version()%l.snapshotEvery != 0 {
 		return
--- a/internal/version/changelog/bench_test.go
+++ b/internal/version/changelog/bench_test.go
@@ -14,48 +14,48 @@
 	"carawayspread/internal/standin/table"
 )
 
-// counting counts the bytes of all connections in both directions.
-type counting struct {
+// countingListener counts the bytes of all connections in both directions.
+type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (l *counting) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
-	return &countedConn{Conn: conn, bytes: &l.bytes}, err
+	return &countingConn{Conn: conn, bytes: &l.bytes}, err
 }
 
-func (c *countedConn) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c *countedConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// BenchmarkPoll reports time and bytes on the wire, HTTP included, of a poll
-// that finds nothing and of one that finds one change.
+// BenchmarkPoll reports the time and the bytes on the wire, including HTTP, of a poll that finds no
+// change and of one that finds one.
 func BenchmarkPoll(b *testing.B) {
 	ctx := context.Background()
 	for name, behind := range map[string]carawayspread.Version{"unchanged": 0, "oneChange": 1} {
 		b.Run(name, func(b *testing.B) {
 			server := httptest.NewUnstartedServer(table.New(carawayspread.SystemClock()))
-			counted := &counting{Listener: server.Listener}
+			counted := &countingListener{Listener: server.Listener}
 			server.Listener = counted
 			server.Start()
 			defer server.Close()
 			client := dynamodb.New(server.URL)
 			defer client.Close()
-			l := New(client, nil, instant{}, WithSnapshotEvery(1000))
+			l := New(client, nil, instantClock{}, WithSnapshotEvery(1000))
 			held := carawayspread.NewConfig(1, nil, nil, nil)
 			first := proposal("ana", 1)
 			first.Held = held
--- a/internal/version/changelog/linear_test.go
+++ b/internal/version/changelog/linear_test.go
@@ -18,12 +18,12 @@
 	"carawayspread/internal/connection/platform"
 )
 
-// fast is a clock on which a second passes in ten milliseconds.
-type fast struct{ began time.Time }
+// fastClock is a clock on which a second passes in ten milliseconds.
+type fastClock struct{ began time.Time }
 
-func (c fast) Now() time.Time { return c.began.Add(100 * time.Since(c.began)) }
+func (c fastClock) Now() time.Time { return c.began.Add(100 * time.Since(c.began)) }
 
-func (c fast) After(d time.Duration) <-chan time.Time { return time.After(d / 100) }
+func (c fastClock) After(d time.Duration) <-chan time.Time { return time.After(d / 100) }
 
 // operation is one proposal or, with an empty actor, one read of the log.
 type operation struct {
@@ -31,15 +31,14 @@
 	against carawayspread.Version
 }
 
-// result is what became of an operation.
+// result is the outcome of an operation.
 type result struct {
 	version carawayspread.Version // made by an accepted proposal, or read
 	code    carawayspread.Code    // of a refusal
 }
 
-// register is the log as its users may see it: a version that only a proposal
-// against it raises. A proposal whose outcome is unknown may have had its effect
-// or not.
+// register models the log as a single version, raised only by a proposal made against it. A proposal
+// with an unknown outcome may have taken effect or not.
 var register = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{carawayspread.Version(0)} },
 	Step: func(state, input, output any) []any {
@@ -63,15 +62,14 @@
 	},
 }
 
-// Five operators make changes at once, each against the newest version that it
-// read, while every answer of the table that brings a write may be lost and
-// reads fail. Whatever they are told fits one order of the changes: a version
-// is made by one of them only, nobody is told of a version that goes back, and
-// no change is made that its operator was told is refused.
-// In the second case the flaky table stands behind the decorators that daemons
-// use, which read back, send again and group on their own.
+// Five operators make changes concurrently, each against the newest version that it has read, while
+// answers to writes are lost and reads fail. The results must be linearizable: each version is made
+// by one operator only, no read returns a version older than an earlier one did, and no change takes
+// effect whose operator was told that it was refused.
+// In the second case the flaky table is wrapped by the decorators that daemons use, which read back,
+// retry and group requests themselves.
 func TestOperatorsAreLinearizable(t *testing.T) {
-	clock := fast{began: time.Now()}
+	clock := fastClock{began: time.Now()}
 	tests := map[string]func(carawayspread.Table) carawayspread.Table{
 		"bare": func(inner carawayspread.Table) carawayspread.Table { return inner },
 		"decorated": func(inner carawayspread.Table) carawayspread.Table {
@@ -84,17 +82,17 @@
 }
 
 func checkOperators(t *testing.T, decorate func(carawayspread.Table) carawayspread.Table, unknown bool) {
-	p := newServices(t)
-	quiet := &log.Logger{Handler: discard.New(), Level: log.FatalLevel}
+	p := newTestStores(t)
+	discardLogger := &log.Logger{Handler: discard.New(), Level: log.FatalLevel}
 	began := time.Now()
 	var mu sync.Mutex
-	var unsure atomic.Bool // an outcome was unknown
+	var sawUnknown atomic.Bool // an outcome was unknown
 	var events []porcupine.Operation
-	note := func(client int, call time.Duration, in operation, out result) {
+	record := func(client int, call time.Duration, in operation, out result) {
 		done := time.Since(began)
 		if out.code == carawayspread.CodeUnknownOutcome {
 			done = time.Hour // it may take effect later
-			unsure.Store(true)
+			sawUnknown.Store(true)
 		}
 		mu.Lock()
 		defer mu.Unlock()
@@ -105,10 +103,10 @@
 	var operators sync.WaitGroup
 	for client := range 5 {
 		operators.Go(func() {
-			flaky := &flaky{Table: p.table, every: 2 + client}
-			l := New(decorate(flaky), p.objects, instant{}, WithLogger(quiet))
+			flaky := &flakyTable{Table: p.table, every: 2 + client}
+			l := New(decorate(flaky), p.objects, instantClock{}, WithLogger(discardLogger))
 			held := empty()
-			for made := 0; made < 15 || unknown && !unsure.Load() && made < 500; {
+			for made := 0; made < 15 || unknown && !sawUnknown.Load() && made < 500; {
 				call := time.Since(began)
 				cfg, _, err := l.CatchUp(context.Background(), held)
 				if err != nil {
@@ -117,7 +115,7 @@
 				}
 				made++
 				held = cfg
-				note(client, call, operation{}, result{version: held.Version()})
+				record(client, call, operation{}, result{version: held.Version()})
 				next := proposal(fmt.Sprint("operator-", client), held.Version())
 				next.Held = held
 				call = time.Since(began)
@@ -127,7 +125,7 @@
 					out.code = typed.Code()
 				}
 				if out.code != carawayspread.CodeStoreUnavailable {
-					note(client, call, operation{actor: next.Actor, against: next.Against}, out)
+					record(client, call, operation{actor: next.Actor, against: next.Against}, out)
 				}
 			}
 		})
@@ -143,35 +141,35 @@
 	qt.Check(t, porcupine.CheckOperations(model, events), qt.IsTrue)
 }
 
-// burst is how many requests fail in a row: enough for all tries of one attempt.
-const burst = 6
+// failureBurst is the number of consecutive requests that fail: enough for all writes of one attempt.
+const failureBurst = 6
 
-// flaky loses answers in bursts; a write takes effect all the same.
-type flaky struct {
+// flakyTable loses answers in bursts; a write whose answer is lost still takes effect.
+type flakyTable struct {
 	carawayspread.Table
 	every, n int
 }
 
-func (f *flaky) fails() bool {
+func (f *flakyTable) fails() bool {
 	f.n++
-	return f.n/burst%f.every == 0
+	return f.n/failureBurst%f.every == 0
 }
 
-func (f *flaky) Query(ctx context.Context, partition, after string, limit int) ([]carawayspread.Item, error) {
+func (f *flakyTable) Query(ctx context.Context, partition, after string, limit int) ([]carawayspread.Item, error) {
 	if f.fails() {
 		return nil, errReset
 	}
 	return f.Table.Query(ctx, partition, after, limit)
 }
 
-func (f *flaky) Get(ctx context.Context, key carawayspread.Key) (carawayspread.Item, error) {
+func (f *flakyTable) Get(ctx context.Context, key carawayspread.Key) (carawayspread.Item, error) {
 	if f.fails() {
 		return carawayspread.Item{}, errReset
 	}
 	return f.Table.Get(ctx, key)
 }
 
-func (f *flaky) Apply(ctx context.Context, writes ...carawayspread.Write) error {
+func (f *flakyTable) Apply(ctx context.Context, writes ...carawayspread.Write) error {
 	err := f.Table.Apply(ctx, writes...)
 	if f.fails() {
 		return errReset
--- a/internal/version/changelog/log.go
+++ b/internal/version/changelog/log.go
@@ -18,38 +18,38 @@
 
 const (
 	partitionConfig = "config"
-	partitionAudit  = "audit/" // followed by the day
+	partitionAudit  = "audit/" // followed by the date in UTC
 	snapshotName    = "config/snapshot"
-	page            = 100 // records read at once
+	pageSize        = 100 // records per query
 )
 
 // Defaults of a Log.
 const (
-	// defaultSnapshotEvery makes 34 snapshots a day out of 6,800 changes; a
-	// daemon that starts reads at most two pages of changes after one.
-	defaultSnapshotEvery = 200
-	defaultTimeout       = time.Second
-	defaultTries         = 3
-	defaultPause         = 200 * time.Millisecond
+	// defaultSnapshotEvery gives 34 snapshots a day with 6,800 changes a day; a starting daemon reads
+	// at most two pages of changes after the snapshot.
+	defaultSnapshotEvery   = 200
+	defaultTimeout         = time.Second
+	defaultMaxWrites       = 3
+	defaultWriteRetryDelay = 200 * time.Millisecond
 )
 
 // Log is the configuration log. It is safe for concurrent use.
 type Log struct {
-	table         carawayspread.Table
-	objects       carawayspread.ObjectStore
-	clock         carawayspread.Clock
-	logger        log.Interface
-	snapshotEvery carawayspread.Version
-	timeout       time.Duration // bounds one request to the platform
-	tries         int           // writes of one attempt whose answers are lost; at least 1
-	pause         time.Duration // between these
-	newAttempt    func() string // unique for each attempt
+	table           carawayspread.Table
+	objects         carawayspread.ObjectStore
+	clock           carawayspread.Clock
+	logger          log.Interface
+	snapshotEvery   carawayspread.Version
+	timeout         time.Duration // bounds one request to the platform
+	maxWrites       int           // times that an attempt is written while answers are lost; at least 1
+	writeRetryDelay time.Duration // between two of these writes
+	newToken        func() string // returns a unique token for an attempt
 }
 
 // Option sets an optional part of a Log.
 type Option func(*Log)
 
-// WithSnapshotEvery sets how many versions lie between two snapshots.
+// WithSnapshotEvery sets the number of versions from one snapshot to the next.
 func WithSnapshotEvery(n int) Option {
 	return func(l *Log) { l.snapshotEvery = carawayspread.Version(n) }
 }
@@ -57,18 +57,18 @@
 // WithTimeout bounds one request to the platform.
 func WithTimeout(d time.Duration) Option { return func(l *Log) { l.timeout = d } }
 
-// WithTokens sets where the tokens of attempts come from.
-func WithTokens(next func() string) Option { return func(l *Log) { l.newAttempt = next } }
+// WithTokens sets the function that returns the token of the next attempt.
+func WithTokens(next func() string) Option { return func(l *Log) { l.newToken = next } }
 
-// WithLogger sets where events are logged.
+// WithLogger sets the logger.
 func WithLogger(logger log.Interface) Option { return func(l *Log) { l.logger = logger } }
 
-// New returns the configuration log that the platform keeps.
+// New returns the configuration log that is stored in the table and the object store.
 func New(table carawayspread.Table, objects carawayspread.ObjectStore, clock carawayspread.Clock, opts ...Option) *Log {
 	l := &Log{
 		table: table, objects: objects, clock: clock, logger: log.Log,
 		snapshotEvery: defaultSnapshotEvery, timeout: defaultTimeout,
-		tries: defaultTries, pause: defaultPause, newAttempt: uuid.NewString,
+		maxWrites: defaultMaxWrites, writeRetryDelay: defaultWriteRetryDelay, newToken: uuid.NewString,
 	}
 	for _, opt := range opts {
 		opt(l)
@@ -76,14 +76,14 @@
 	return l
 }
 
-// CatchUp reads what was accepted after from and returns the newest version
-// with the records that lead to it. The records have no gap but may start later
-// than from, where a snapshot was nearer. Reads are consistent: the version
-// returned was the newest at some moment after the call began.
+// CatchUp reads the changes accepted after the version of from and returns the newest configuration
+// with the records that lead to it. The records have no gap, but start after a snapshot where one
+// was loaded. Reads are consistent: the version returned was the newest at some moment after the
+// call began.
 //
-// With an error it returns how far it came, which proves nothing about what is
-// newest. A daemon that starts far behind keeps the progress of each try;
-// without that, a long log would have to be read within one timeout.
+// If a read fails, it returns the configuration reached so far, which may not be the newest. A daemon
+// that starts far behind keeps the progress of each call; otherwise a long log would have to be read
+// within one timeout.
 func (l *Log) CatchUp(ctx context.Context, from *carawayspread.Config) (*carawayspread.Config, []record.Record, error) {
 	cfg := from
 	var records []record.Record
@@ -98,20 +98,19 @@
 			}
 		}
 		records = append(records, next...)
-		if len(next) < page {
+		if len(next) < pageSize {
 			return cfg, records, nil
 		}
-		if leap := l.nearer(ctx, cfg); leap != cfg {
-			cfg, records = leap, nil
+		if newer := l.loadNewerSnapshot(ctx, cfg); newer != cfg {
+			cfg, records = newer, nil
 		}
 	}
 }
 
-// nearer returns the snapshot where it is newer than cfg. A snapshot only saves
-// time: the log alone leads to the same configuration. It may take a quarter of
-// the time that is left, so that a slow object store does not use up what the
-// table needs.
-func (l *Log) nearer(ctx context.Context, cfg *carawayspread.Config) *carawayspread.Config {
+// loadNewerSnapshot returns the snapshot if it is newer than cfg, and cfg otherwise. A snapshot only
+// saves time: the log alone leads to the same configuration. Loading may take a quarter of the time
+// left until the deadline, so that a slow object store leaves time for the table.
+func (l *Log) loadNewerSnapshot(ctx context.Context, cfg *carawayspread.Config) *carawayspread.Config {
 	timeout := l.timeout
 	if deadline, ok := ctx.Deadline(); ok {
 		timeout = min(timeout, time.Until(deadline)/4)
@@ -122,21 +121,21 @@
 	if errors.Is(err, carawayspread.ErrNoObject) {
 		return cfg
 	}
-	var held *carawayspread.Config
+	var stored *carawayspread.Config
 	if err == nil {
-		held, err = snapshot.Decode(body)
+		stored, err = snapshot.Decode(body)
 	}
 	if err != nil {
 		l.logger.WithError(err).Warn("config.snapshotUnread")
 		return cfg
 	}
-	if held.Version() <= cfg.Version() {
+	if stored.Version() <= cfg.Version() {
 		return cfg
 	}
-	return held
+	return stored
 }
 
-// History returns accepted changes in order, the first of version after+1.
+// History returns one page of accepted changes in order, the first of version after+1.
 func (l *Log) History(ctx context.Context, after carawayspread.Version) ([]record.Record, error) {
 	return l.readPage(ctx, after)
 }
@@ -157,35 +156,35 @@
 	return records, nil
 }
 
-// Audit returns the audit trail of one day in the order of time, after the
-// record with that key; an empty key starts the day. The returned key continues
-// the reading and is empty at the end.
-func (l *Log) Audit(ctx context.Context, day time.Time, after string) (lines []auditrecord.AuditRecord, next string, err error) {
+// Audit returns one page of the audit records of a day in the order of time, after the record with
+// that key; an empty key starts at the beginning of the day. The returned key is that of the next
+// call; it is empty at the end of the day.
+func (l *Log) Audit(ctx context.Context, day time.Time, after string) (records []auditrecord.AuditRecord, next string, err error) {
 	items, err := l.query(ctx, auditPartition(day), after)
 	if err != nil {
 		return nil, "", err
 	}
 	for _, item := range items {
-		line, err := auditrecord.Decode(item.Body)
+		r, err := auditrecord.Decode(item.Body)
 		if err != nil {
 			return nil, "", err
 		}
-		lines = append(lines, line)
+		records = append(records, r)
 	}
-	if len(items) == page {
+	if len(items) == pageSize {
 		next = items[len(items)-1].Key.Sort
 	}
-	return lines, next, nil
+	return records, next, nil
 }
 
 func (l *Log) query(ctx context.Context, partition, after string) ([]carawayspread.Item, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.timeout)
 	defer cancel()
-	items, err := l.table.Query(ctx, partition, after, page)
+	items, err := l.table.Query(ctx, partition, after, pageSize)
 	return items, trace.Wrap(err)
 }
 
-// sortKey orders versions as numbers.
+// sortKey returns a key of fixed width, so that keys sort in the order of the versions.
 func sortKey(version carawayspread.Version) string { return fmt.Sprintf("%020d", version) }
 
 func auditPartition(day time.Time) string {
--- a/internal/version/changelog/log_test.go
+++ b/internal/version/changelog/log_test.go
@@ -22,28 +22,28 @@
 	"carawayspread/internal/version/snapshot"
 )
 
-// instant is a clock that does not wait.
-type instant struct{}
+// instantClock stands at noon and does not wait.
+type instantClock struct{}
 
 var noon = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-func (instant) Now() time.Time { return noon }
+func (instantClock) Now() time.Time { return noon }
 
-func (instant) After(time.Duration) <-chan time.Time {
+func (instantClock) After(time.Duration) <-chan time.Time {
 	woken := make(chan time.Time)
 	close(woken)
 	return woken
 }
 
-// services is the table service and object store of one test.
-type services struct {
+// testStores holds the table service and the object store of one test.
+type testStores struct {
 	table       carawayspread.Table
 	objects     carawayspread.ObjectStore
 	tableFaults *table.Table
 	storeFaults *fault.Faults
 }
 
-func newServices(t testing.TB) *services {
+func newTestStores(t testing.TB) *testStores {
 	tables, store := table.New(carawayspread.SystemClock()), objects.New(carawayspread.SystemClock())
 	tableServer, storeServer := httptest.NewServer(tables), httptest.NewServer(store)
 	tableClient, storeClient := dynamodb.New(tableServer.URL), s3.New(storeServer.URL)
@@ -53,7 +53,7 @@
 		tableServer.Close()
 		storeServer.Close()
 	})
-	return &services{table: tableClient, objects: storeClient, tableFaults: tables, storeFaults: store.Faults}
+	return &testStores{table: tableClient, objects: storeClient, tableFaults: tables, storeFaults: store.Faults}
 }
 
 func empty() *carawayspread.Config { return carawayspread.NewConfig(0, nil, nil, nil) }
@@ -69,49 +69,49 @@
 	return refusal
 }
 
-// sleepy is an object store that answers when its caller gives up.
-type sleepy struct{ carawayspread.ObjectStore }
+// hangingStore is an object store whose reads block until the caller's context ends.
+type hangingStore struct{ carawayspread.ObjectStore }
 
-func (sleepy) Get(ctx context.Context, _ string) ([]byte, error) {
+func (hangingStore) Get(ctx context.Context, _ string) ([]byte, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// failing is a table whose reads fail after the first n.
-type failing struct {
+// failingTable is a table whose queries fail after the first n.
+type failingTable struct {
 	carawayspread.Table
 	n int
 }
 
-func (f *failing) Query(ctx context.Context, partition, after string, limit int) ([]carawayspread.Item, error) {
+func (f *failingTable) Query(ctx context.Context, partition, after string, limit int) ([]carawayspread.Item, error) {
 	if f.n--; f.n < 0 {
 		return nil, errReset
 	}
 	return f.Table.Query(ctx, partition, after, limit)
 }
 
-// A daemon starts far behind while the object store hangs and reads of the
-// table break off. It gets on a little with every try, until it has the newest
-// version; were a try all or nothing, it would never be ready.
+// A daemon starts far behind while the object store hangs and reads of the table fail. Each call must
+// keep its progress until the newest version is reached; if a call kept all or nothing, the daemon
+// would never become ready.
 func TestCatchUpKeepsProgress(t *testing.T) {
-	p := newServices(t)
-	held := fill(t, New(p.table, p.objects, instant{}), 250)
+	p := newTestStores(t)
+	held := appendChanges(t, New(p.table, p.objects, instantClock{}), 250)
 	cfg := empty()
-	for try := range 3 {
+	for n := range 3 {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-		l := New(&failing{Table: p.table, n: 1}, sleepy{}, instant{}, WithTimeout(time.Minute))
+		l := New(&failingTable{Table: p.table, n: 1}, hangingStore{}, instantClock{}, WithTimeout(time.Minute))
 		next, records, err := l.CatchUp(ctx, cfg)
 		qt.Check(t, ctx.Err(), qt.IsNil) // the object store left time for the table
 		cancel()
-		qt.Assert(t, err == nil, qt.Equals, try == 2)
+		qt.Assert(t, err == nil, qt.Equals, n == 2)
 		qt.Check(t, records[0].Version, qt.Equals, cfg.Version()+1)
 		cfg = next
 	}
 	qt.Check(t, cfg.Version(), qt.Equals, held.Version())
 }
 
-// fill has n changes accepted.
-func fill(t testing.TB, l *Log, n int) *carawayspread.Config {
+// appendChanges appends n changes to the empty configuration.
+func appendChanges(t testing.TB, l *Log, n int) *carawayspread.Config {
 	held := empty()
 	for range n {
 		next := proposal("ana", held.Version())
@@ -123,13 +123,13 @@
 	return held
 }
 
-// A daemon that starts finds the newest version through snapshot and log, and
-// the same one through the log alone while the object store is down.
+// A starting daemon must reach the same newest version from the snapshot and the log, and from the
+// log alone while the object store is down.
 func TestCatchUp(t *testing.T) {
 	ctx := context.Background()
-	p := newServices(t)
-	l := New(p.table, p.objects, instant{}, WithSnapshotEvery(50))
-	held := fill(t, l, 230)
+	p := newTestStores(t)
+	l := New(p.table, p.objects, instantClock{}, WithSnapshotEvery(50))
+	held := appendChanges(t, l, 230)
 	want, err := snapshot.Encode(held)
 	qt.Assert(t, err, qt.IsNil)
 	for storeDown, pages := range map[bool]uint64{false: 2, true: 3} {
@@ -145,32 +145,32 @@
 	}
 }
 
-// The operator's change is written, but every answer of the table is lost. The
-// attempt reads its own token back and reports it accepted; were it reported
-// failed, the operator would make it a second time.
+// A change is written, but every answer of the table to a write is lost. The attempt must find its own
+// token in the table and report the change accepted; if it were reported failed, the operator would
+// make it a second time.
 func TestAppendLostAnswer(t *testing.T) {
-	p := newServices(t)
+	p := newTestStores(t)
 	p.tableFaults.LoseAnswers(fault.UntilCleared)
-	r, _, err := New(p.table, p.objects, instant{}).Append(context.Background(), proposal("ana", 0))
+	r, _, err := New(p.table, p.objects, instantClock{}).Append(context.Background(), proposal("ana", 0))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, r.Version, qt.Equals, carawayspread.Version(1))
 }
 
 var errReset = errors.New("connection reset")
 
-// scripted is a table whose answers to the first requests are given; those
-// after them are lost, without effect.
-type scripted struct {
+// scriptedTable is a table with scripted results for the first writes and reads; later ones fail
+// without effect.
+type scriptedTable struct {
 	carawayspread.Table
 	applies, gets []step
 }
 
 type step struct {
 	done bool  // the request takes effect
-	err  error // replaces the answer
+	err  error // returned instead of the answer
 }
 
-func next(steps *[]step) step {
+func popStep(steps *[]step) step {
 	if len(*steps) == 0 {
 		return step{err: errReset}
 	}
@@ -179,8 +179,8 @@
 	return first
 }
 
-func (s *scripted) Apply(ctx context.Context, writes ...carawayspread.Write) error {
-	now := next(&s.applies)
+func (s *scriptedTable) Apply(ctx context.Context, writes ...carawayspread.Write) error {
+	now := popStep(&s.applies)
 	var err error
 	if now.done {
 		err = s.Table.Apply(ctx, writes...)
@@ -188,36 +188,36 @@
 	return errors.Join(now.err, err)
 }
 
-func (s *scripted) Get(ctx context.Context, key carawayspread.Key) (carawayspread.Item, error) {
-	if now := next(&s.gets); !now.done {
+func (s *scriptedTable) Get(ctx context.Context, key carawayspread.Key) (carawayspread.Item, error) {
+	if now := popStep(&s.gets); !now.done {
 		return carawayspread.Item{}, now.err
 	}
 	return s.Table.Get(ctx, key)
 }
 
-// The process is cut off from the table around its write. Where it cannot be
-// known whether the write took effect, the operator is told so, with the
-// attempt by which to find out; "refused" or "accepted" would be false in one of
-// the cases. A later failure proves nothing about an earlier request.
+// The connection to the table breaks before or after a write. Where it cannot be known whether the
+// write took effect, the operator must receive an unknown outcome with the token of the attempt;
+// "refused" or "accepted" would be false in one of the cases. A later failure proves nothing about
+// an earlier write.
 func TestAppendCutOff(t *testing.T) {
 	lost, written := step{err: errReset}, step{done: true, err: errReset}
 	tests := map[string]struct {
 		applies, gets []step
-		accepted      bool // the verdict; unknown otherwise
-		exists        bool // what is true
+		accepted      bool // the result of Append; unknown outcome otherwise
+		exists        bool // whether the change is in the table
 	}{
-		"lost before the write":      {applies: []step{lost}},
-		"lost after the write":       {applies: []step{written}, exists: true},
-		"down after the write":       {applies: []step{written, {err: carawayspread.ErrUnavailable}}, exists: true},
-		"meets its own write":        {applies: []step{written, {done: true}}, gets: []step{lost, {done: true}}, accepted: true, exists: true},
-		"writes at the second trial": {applies: []step{lost, {done: true}}, accepted: true, exists: true},
+		"lost before the write": {applies: []step{lost}},
+		"lost after the write":  {applies: []step{written}, exists: true},
+		"down after the write":  {applies: []step{written, {err: carawayspread.ErrUnavailable}}, exists: true},
+		"finds its own write":   {applies: []step{written, {done: true}}, gets: []step{lost, {done: true}}, accepted: true, exists: true},
+		"second write succeeds": {applies: []step{lost, {done: true}}, accepted: true, exists: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			p := newServices(t)
-			l := New(&scripted{Table: p.table, applies: test.applies, gets: test.gets}, p.objects, instant{})
+			p := newTestStores(t)
+			l := New(&scriptedTable{Table: p.table, applies: test.applies, gets: test.gets}, p.objects, instantClock{})
 			_, _, err := l.Append(context.Background(), proposal("ana", 0))
-			records, readErr := New(p.table, p.objects, instant{}).History(context.Background(), 0)
+			records, readErr := New(p.table, p.objects, instantClock{}).History(context.Background(), 0)
 			qt.Assert(t, readErr, qt.IsNil)
 			qt.Check(t, len(records) == 1, qt.Equals, test.exists)
 			if test.accepted {
@@ -235,11 +235,11 @@
 	}
 }
 
-// While the table is down the operator is told at once that nothing was
-// written, and afterwards nothing is.
+// While the table is down, an operator must be told at once that nothing was written, and nothing
+// may be written later.
 func TestAppendStoreDown(t *testing.T) {
-	p := newServices(t)
-	l := New(p.table, p.objects, instant{})
+	p := newTestStores(t)
+	l := New(p.table, p.objects, instantClock{})
 	p.tableFaults.SetDown(true)
 	_, _, err := l.Append(context.Background(), proposal("ana", 0))
 	typed, _ := carawayspread.AsError(err)
@@ -249,59 +249,59 @@
 	qt.Check(t, p.tableFaults.Len(), qt.Equals, 0)
 }
 
-// turnstile lets the requests of two operators through one at a time, in an
-// order that the test chooses.
-type turnstile struct {
+// gatedTable holds each request until the test releases it, so that the test chooses the order of
+// two operators' requests.
+type gatedTable struct {
 	carawayspread.Table
-	arrived, pass chan struct{}
+	arrived, release chan struct{}
 }
 
-func (g *turnstile) enter() {
+func (g *gatedTable) enter() {
 	g.arrived <- struct{}{}
-	<-g.pass
+	<-g.release
 }
 
-func (g *turnstile) Query(ctx context.Context, partition, after string, limit int) ([]carawayspread.Item, error) {
+func (g *gatedTable) Query(ctx context.Context, partition, after string, limit int) ([]carawayspread.Item, error) {
 	g.enter()
 	return g.Table.Query(ctx, partition, after, limit)
 }
 
-func (g *turnstile) Apply(ctx context.Context, writes ...carawayspread.Write) error {
+func (g *gatedTable) Apply(ctx context.Context, writes ...carawayspread.Write) error {
 	g.enter()
 	return g.Table.Apply(ctx, writes...)
 }
 
-// Two operators change version 0 at the same time. In every order in which
-// their requests can reach the table, with and without lost answers, exactly
-// one is accepted; the other learns of it, by whom, and that its own change was
-// not made. Nothing merges silently, and the audit trail tells both.
+// Two operators change version 0 at the same time. In every order in which their requests can reach
+// the table, with and without lost answers, exactly one must be accepted; the other must receive a
+// conflict that names the first one's operator. No changes may be merged silently, and the audit
+// trail must hold both.
 func TestAppendRace(t *testing.T) {
-	const decisions = 6 // two reads and one or two writes each
+	const orderBits = 6 // each operator makes up to two reads and one or two writes
 	for lost := range 3 {
-		for order := range 1 << decisions {
+		for order := range 1 << orderBits {
 			t.Run(fmt.Sprintf("lost=%d/order=%06b", lost, order), func(t *testing.T) {
-				race(t, order, lost)
+				checkRace(t, order, lost)
 			})
 		}
 	}
 }
 
-func race(t *testing.T, order, lost int) {
-	p := newServices(t)
+func checkRace(t *testing.T, order, lost int) {
+	p := newTestStores(t)
 	p.tableFaults.LoseAnswers(lost)
 	actors := []string{"ana", "luis"}
 	results := make([]error, len(actors))
-	gates := make([]*turnstile, len(actors))
+	gates := make([]*gatedTable, len(actors))
 	var running sync.WaitGroup
 	for i, actor := range actors {
-		gates[i] = &turnstile{Table: p.table, arrived: make(chan struct{}), pass: make(chan struct{})}
+		gates[i] = &gatedTable{Table: p.table, arrived: make(chan struct{}), release: make(chan struct{})}
 		running.Go(func() {
 			defer close(gates[i].arrived)
-			l := New(gates[i], p.objects, instant{}, WithTokens(func() string { return actor }))
+			l := New(gates[i], p.objects, instantClock{}, WithTokens(func() string { return actor }))
 			_, _, results[i] = l.Append(context.Background(), proposal(actor, 0))
 		})
 	}
-	conduct(gates, order)
+	releaseInOrder(gates, order)
 	running.Wait()
 
 	winner := 0
@@ -316,7 +316,7 @@
 	qt.Assert(t, refusal.Since(), qt.HasLen, 1)
 	qt.Check(t, refusal.Since()[0].Actor, qt.Equals, actors[winner])
 
-	lines, _, err := New(p.table, p.objects, instant{}).Audit(context.Background(), noon, "")
+	lines, _, err := New(p.table, p.objects, instantClock{}).Audit(context.Background(), noon, "")
 	qt.Assert(t, err, qt.IsNil)
 	verdicts := map[string]string{}
 	for _, line := range lines {
@@ -327,9 +327,9 @@
 	})
 }
 
-// conduct passes one waiting request after the other, chosen by the bits of
-// order, until both operators are done.
-func conduct(gates []*turnstile, order int) {
+// releaseInOrder releases one waiting request after the other, chosen by the bits of order, until
+// both operators are done.
+func releaseInOrder(gates []*gatedTable, order int) {
 	waiting := make([]bool, len(gates))
 	for i, gate := range gates {
 		_, waiting[i] = <-gate.arrived
@@ -340,7 +340,7 @@
 		if !waiting[i] {
 			i = 1 - i
 		}
-		gates[i].pass <- struct{}{}
+		gates[i].release <- struct{}{}
 		_, waiting[i] = <-gates[i].arrived
 	}
 }
--- a/internal/version/changelog/refusal.go
+++ b/internal/version/changelog/refusal.go
@@ -9,14 +9,14 @@
 	"carawayspread/internal/version/record"
 )
 
-// comeBack is when an operator may ask again after a fault of the platform.
-const comeBack = 5 * time.Second
+// retryDelay is when an operator may retry after a failure of the platform.
+const retryDelay = 5 * time.Second
 
-// Refusal is a change that was not accepted, or not known to be.
+// Refusal is the error of a change that was not accepted, or whose outcome is unknown.
 type Refusal struct {
 	err      *carawayspread.Error
 	attempt  string
-	current  carawayspread.Version // the newest known; zero where the log could not be read
+	current  carawayspread.Version // the newest known; zero if the store is unavailable or the outcome unknown
 	since    []record.Record       // accepted after the version that the operator saw
 	findings finding.List          // of a change that does not pass the checks
 }
@@ -29,21 +29,22 @@
 // Attempt returns the token of the attempt.
 func (r *Refusal) Attempt() string { return r.attempt }
 
-// Current returns the newest version known; zero when the log could not be read.
+// Current returns the newest version known; zero when the store is unavailable or the outcome is
+// unknown.
 func (r *Refusal) Current() carawayspread.Version { return r.current }
 
-// Since returns what was accepted after the version that the operator saw, and
-// what the change would therefore have replaced unseen.
+// Since returns the changes accepted after the version that the operator saw. The operator's change
+// would have overwritten them without the operator having seen them.
 func (r *Refusal) Since() []record.Record { return r.since }
 
-// Findings returns what the checks found.
+// Findings returns the findings of the checks.
 func (r *Refusal) Findings() finding.List { return r.findings }
 
 func storeUnavailable(cause error) *Refusal {
 	return &Refusal{err: carawayspread.NewError(
 		carawayspread.CodeStoreUnavailable,
 		"the table service cannot be reached; the change was not accepted and nothing was written",
-		carawayspread.NotRun(), carawayspread.RetryAfter(comeBack), carawayspread.CausedBy(cause),
+		carawayspread.NotRun(), carawayspread.RetryAfter(retryDelay), carawayspread.CausedBy(cause),
 	)}
 }
 
@@ -74,6 +75,6 @@
 		"once version %d exists, the change was accepted if and only if its attempt is %s", version, version, attempt)
 	return &Refusal{err: carawayspread.NewError(
 		carawayspread.CodeUnknownOutcome, message,
-		carawayspread.RetryAfter(comeBack), carawayspread.CausedBy(cause),
+		carawayspread.RetryAfter(retryDelay), carawayspread.CausedBy(cause),
 	)}
 }
