--- a/internal/version/auditrecord/auditrecord.go
+++ b/internal/version/auditrecord/auditrecord.go
@@ -1,5 +1,5 @@
-// Package auditrecord holds one line of the audit trail: who asked for which
-// change of the configuration, when, and what became of it.
+// Package auditrecord holds one record of the audit trail: who requested which change of the
+// configuration or other action, when, and with which outcome.
 package auditrecord
 
 import (
@@ -12,11 +12,11 @@
 	"carawayspread/internal/version/change"
 )
 
-// Verdicts on what was asked for.
+// Verdicts on a requested action.
 const (
 	Accepted = "accepted"
 	Refused  = "refused"
-	Unknown  = "unknown" // it may have taken effect
+	Unknown  = "unknown" // the action may have taken effect
 )
 
 // Actions that are audited.
@@ -28,24 +28,24 @@
 // maxBytes keeps a record within one item of the table service.
 const maxBytes = 60 << 10
 
-// AuditRecord is one line of the audit trail. Its fields must not be modified.
+// AuditRecord is one record of the audit trail. Its fields must not be modified.
 type AuditRecord struct {
-	At      time.Time             `json:"at"` // by the clock of the daemon that took the change
+	At      time.Time             `json:"at"` // by the clock of the daemon that received the request
 	Actor   string                `json:"actor"`
 	Attempt string                `json:"attempt"`
 	Action  string                `json:"action"`
 	Verdict string                `json:"verdict"`
-	Code    carawayspread.Code    `json:"code,omitempty"`    // of what is not accepted
-	Reason  string                `json:"reason,omitempty"`  // of what is not accepted
-	Against carawayspread.Version `json:"against,omitempty"` // what the operator saw
-	Version carawayspread.Version `json:"version,omitempty"` // what an accepted change made
+	Code    carawayspread.Code    `json:"code,omitempty"`    // unless accepted
+	Reason  string                `json:"reason,omitempty"`  // unless accepted
+	Against carawayspread.Version `json:"against,omitempty"` // the version that the operator saw
+	Version carawayspread.Version `json:"version,omitempty"` // the version that an accepted change made
 	Touches []string              `json:"touches,omitempty"`
-	From    *change.Change        `json:"from,omitempty"` // would undo the change
+	From    *change.Change        `json:"from,omitempty"` // the change that undoes To
 	To      *change.Change        `json:"to,omitempty"`   // the change itself
 }
 
-// Encode returns the JSON form. Values of a change too large for one item are
-// left out; what it touches stays.
+// Encode returns the JSON form. If the record is too large for one item, the values of the change are
+// omitted and the list of what it touches is cut to maxTouches.
 func (a AuditRecord) Encode() ([]byte, error) {
 	body, err := json.Marshal(a)
 	if err == nil && len(body) > maxBytes {
@@ -56,7 +56,7 @@
 	return body, trace.Wrap(err)
 }
 
-// maxTouches of the longest names fit into one item.
+// maxTouches is a number of touched values that fits into one item even with the longest names.
 const maxTouches = 300
 
 // Decode reads a record from its JSON form.
--- a/internal/version/changelog/log_test.go
+++ b/internal/version/changelog/log_test.go
@@ -22,7 +22,7 @@
 	"carawayspread/internal/version/snapshot"
 )
 
-// instantClock stands at noon and does not wait.
+// instantClock always reads noon and does not wait.
 type instantClock struct{}
 
 var noon = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
--- a/internal/version/document/document.go
+++ b/internal/version/document/document.go
@@ -1,8 +1,9 @@
 // Package document reads JSON with comments value by value and collects every
 // finding with its file, line, column and path.
 //
-// A reader asks a Node for what it expects and gets a zero value where the text
-// holds something else, so that one pass over a document reports all faults.
+// A caller reads each value of a Node as the type that it expects. A value of another type is
+// recorded as a finding and read as the zero value, so that one pass over a document reports all
+// faults.
 package document
 
 import (
@@ -20,11 +21,11 @@
 type Node struct {
 	source *source
 	value  *hujson.Value // nil where the value is absent
-	at     int           // offset of the value, or of the object that lacks it
+	offset int           // of the value, or of the object that lacks it
 	path   string
-	// silent marks a node whose fault, or whose parent's, is already found:
-	// nothing more is reported below it.
-	silent bool
+	// suppressed marks a node for which and below which nothing more is reported: a fault of it or of
+	// a parent is recorded already, or the object that would contain it is absent.
+	suppressed bool
 }
 
 type source struct {
@@ -33,15 +34,15 @@
 	findings finding.List
 }
 
-// Parse reads a document. Malformed text is a finding at its place.
+// Parse reads a document. Malformed text is recorded as a finding at its position.
 func Parse(name string, body []byte) Node {
 	src := &source{name: name, body: body}
 	value, err := hujson.Parse(body)
 	if err != nil {
 		src.findings = append(src.findings, malformed(name, err))
-		return Node{source: src, silent: true}
+		return Node{source: src, suppressed: true}
 	}
-	return Node{source: src, value: &value, at: value.StartOffset}
+	return Node{source: src, value: &value, offset: value.StartOffset}
 }
 
 var parseError = regexp.MustCompile(`^hujson: line (\d+), column (\d+): (.*)$`)
@@ -60,40 +61,40 @@
 // Err returns all findings of the document, or nil.
 func (n Node) Err() error { return n.source.findings.Err() }
 
-// Findings returns what was found so far, in no order.
+// Findings returns the findings so far, unordered.
 func (n Node) Findings() finding.List { return n.source.findings }
 
-// Exists reports whether the document holds the value.
-func (n Node) Exists() bool { return n.value != nil && !n.silent }
+// Exists reports whether the document contains the value; false for a suppressed node.
+func (n Node) Exists() bool { return n.value != nil && !n.suppressed }
 
 // Path returns the path of the value in the document.
 func (n Node) Path() string { return n.path }
 
-// Place returns where the value stands.
+// Place returns the position of the value.
 func (n Node) Place() finding.Place {
-	line, column := n.source.position(n.at)
+	line, column := n.source.position(n.offset)
 	return finding.Place{File: n.source.name, Line: line, Column: column, Path: n.path}
 }
 
-// Fail adds a finding at the value.
+// Fail records a finding at the value, unless the node is suppressed.
 func (n Node) Fail(format string, args ...any) {
-	if !n.silent {
+	if !n.suppressed {
 		n.source.findings.Add(n.Place(), format, args...)
 	}
 }
 
-func (s *source) position(at int) (line, column int) {
-	at = min(at, len(s.body))
-	start := bytes.LastIndexByte(s.body[:at], '\n') + 1
-	return bytes.Count(s.body[:start], []byte{'\n'}) + 1, at - start + 1
+func (s *source) position(offset int) (line, column int) {
+	offset = min(offset, len(s.body))
+	start := bytes.LastIndexByte(s.body[:offset], '\n') + 1
+	return bytes.Count(s.body[:start], []byte{'\n'}) + 1, offset - start + 1
 }
 
-// Object checks that the value is an object that has only the named fields,
-// each once. It returns the node, silenced where it is no object.
+// Object checks that the value is an object that has only the named fields, each at most once. It
+// returns the node, suppressed if the value is not an object.
 func (n Node) Object(fields ...string) Node {
 	object, ok := n.object()
 	if !ok {
-		return n.silenced("an object")
+		return n.rejectType("an object")
 	}
 	known := map[string]bool{}
 	for _, field := range fields {
@@ -116,40 +117,40 @@
 
 // Field returns the named field of an object; it may be absent.
 func (n Node) Field(name string) Node {
-	absent := Node{source: n.source, at: n.at, path: join(n.path, name), silent: n.silent}
+	absent := Node{source: n.source, offset: n.offset, path: joinPath(n.path, name), suppressed: n.suppressed}
 	object, ok := n.object()
 	if !ok {
-		absent.silent = true
+		absent.suppressed = true
 		return absent
 	}
 	for i := range object.Members {
 		if object.Members[i].Name.Value.(hujson.Literal).String() == name {
 			found := n.member(&object.Members[i])
-			found.at = object.Members[i].Value.StartOffset
+			found.offset = object.Members[i].Value.StartOffset
 			return found
 		}
 	}
 	return absent
 }
 
-// Need returns the named field of an object; its absence is a finding.
+// Need returns the named field of an object; if it is absent, this is recorded as a finding.
 func (n Node) Need(name string) Node {
 	field := n.Field(name)
 	if field.value == nil {
 		field.Fail("missing")
-		field.silent = true
+		field.suppressed = true
 	}
 	return field
 }
 
-// Items returns the elements of an array; ok is false where there is none.
+// Items returns the elements of an array; ok is false if the value is not an array.
 func (n Node) Items() (items []Node, ok bool) {
-	if n.silent || n.value == nil {
+	if n.suppressed || n.value == nil {
 		return nil, false
 	}
 	array, ok := n.value.Value.(*hujson.Array)
 	if !ok {
-		n.silenced("an array")
+		n.rejectType("an array")
 		return nil, false
 	}
 	items = make([]Node, 0, len(array.Elements))
@@ -158,7 +159,7 @@
 		items = append(items, Node{
 			source: n.source,
 			value:  element,
-			at:     element.StartOffset,
+			offset: element.StartOffset,
 			path:   fmt.Sprintf("%s[%d]", n.path, i),
 		})
 	}
@@ -166,25 +167,26 @@
 }
 
 func (n Node) object() (*hujson.Object, bool) {
-	if n.silent || n.value == nil {
+	if n.suppressed || n.value == nil {
 		return nil, false
 	}
 	object, ok := n.value.Value.(*hujson.Object)
 	return object, ok
 }
 
-// member returns the node of a member, placed at its name.
+// member returns the node of a member, with the position of its name.
 func (n Node) member(m *hujson.ObjectMember) Node {
 	name := m.Name.Value.(hujson.Literal).String()
-	return Node{source: n.source, value: &m.Value, at: m.Name.StartOffset, path: join(n.path, name)}
+	return Node{source: n.source, value: &m.Value, offset: m.Name.StartOffset, path: joinPath(n.path, name)}
 }
 
-// silenced reports a value of the wrong type; absence is no wrong type.
-func (n Node) silenced(want string) Node {
+// rejectType reports a value that is not of the wanted type and returns the node suppressed. An
+// absent value is not reported.
+func (n Node) rejectType(want string) Node {
 	if n.value != nil {
 		n.Fail("must be %s, is %s", want, kindOf(n.value))
 	}
-	n.silent = true
+	n.suppressed = true
 	return n
 }
 
@@ -205,7 +207,7 @@
 	}
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if name == "" {
 		return path
 	}
@@ -215,22 +217,22 @@
 	return path + "." + name
 }
 
-// Find returns the value at a path below the node, such as
-// set.classes[0].share, or the nearest enclosing value under that path.
+// Find returns the value at a path below the node, such as set.classes[0].share. If there is none,
+// it returns the nearest enclosing value, with that path.
 func (n Node) Find(path string) Node {
 	found := n
-	for _, step := range steps.FindAllStringSubmatch(path, -1) {
+	for _, step := range pathSteps.FindAllStringSubmatch(path, -1) {
 		next := found.step(step[1], step[2])
 		if next.value == nil {
 			break
 		}
 		found = next
 	}
-	found.path = join(n.path, path)
+	found.path = joinPath(n.path, path)
 	return found
 }
 
-var steps = regexp.MustCompile(`\.?([^.\[\]]+)|\[(\d+)\]`)
+var pathSteps = regexp.MustCompile(`\.?([^.\[\]]+)|\[(\d+)\]`)
 
 func (n Node) step(field, index string) Node {
 	if field != "" {
--- a/internal/version/document/values.go
+++ b/internal/version/document/values.go
@@ -10,20 +10,21 @@
 	"github.com/tailscale/hujson"
 )
 
-// literal returns the value when it is a literal of that kind.
+// literal returns the value if it is a literal of one of the kinds. A literal of another kind, or an
+// object or array, is reported as a finding.
 func (n Node) literal(want string, kinds ...hujson.Kind) (hujson.Literal, bool) {
-	if n.silent || n.value == nil {
+	if n.suppressed || n.value == nil {
 		return nil, false
 	}
 	literal, ok := n.value.Value.(hujson.Literal)
 	if !ok || !slices.Contains(kinds, literal.Kind()) {
-		n.silenced(want)
+		n.rejectType(want)
 		return nil, false
 	}
 	return literal, true
 }
 
-// Text returns a string; an empty one is a finding.
+// Text returns a string; an empty one is recorded as a finding.
 func (n Node) Text() string {
 	literal, ok := n.literal("a string", '"')
 	if !ok {
@@ -36,7 +37,7 @@
 	return text
 }
 
-// OneOf returns a string that is one of the choices.
+// OneOf returns a string; one that is not among the choices is recorded as a finding.
 func (n Node) OneOf(choices ...string) string {
 	text := n.Text()
 	if text != "" && !slices.Contains(choices, text) {
@@ -51,7 +52,7 @@
 	return ok && literal.Bool()
 }
 
-// Int returns a whole number from low to high.
+// Int returns a whole number; one outside low to high is recorded as a finding.
 func (n Node) Int(low, high int64) int64 {
 	literal, ok := n.literal("a whole number", '0')
 	if !ok {
@@ -82,7 +83,7 @@
 	return value
 }
 
-// Duration returns a duration such as "300ms" from low to high.
+// Duration returns a duration such as "300ms"; one outside low to high is recorded as a finding.
 func (n Node) Duration(low, high time.Duration) time.Duration {
 	literal, ok := n.literal(`a duration such as "300ms"`, '"')
 	if !ok {
@@ -99,7 +100,7 @@
 	return value
 }
 
-// Address returns an IP number and port such as 127.0.0.1:8080.
+// Address returns an IP address and port such as 127.0.0.1:8080.
 func (n Node) Address() string {
 	text := n.Text()
 	if text == "" {
@@ -111,7 +112,7 @@
 	return text
 }
 
-// UncheckedText returns a string without a check; ok is false where there is none.
+// UncheckedText returns a string and records no finding; ok is false if the value is not a string.
 func (n Node) UncheckedText() (text string, ok bool) {
 	if !n.Exists() {
 		return "", false
--- a/internal/version/finding/finding.go
+++ b/internal/version/finding/finding.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Place tells where in an input a value stands. The zero Place is unknown.
+// Place is the position of a value in an input. The zero Place is unknown.
 type Place struct {
 	File   string `json:"file,omitempty"`
 	Line   int    `json:"line,omitempty"`   // from 1; zero when the value was not read from text
@@ -17,7 +17,7 @@
 	Path   string `json:"path,omitempty"`   // such as endpoints[2].address
 }
 
-// Finding is one fault of an input.
+// Finding is one fault in an input.
 type Finding struct {
 	Place
 	Message string `json:"message"`
@@ -38,7 +38,7 @@
 	return strings.Join(append(parts, f.Message), ": ")
 }
 
-// List holds the findings of one input. It is an error when it is not empty.
+// List holds the findings of one input. It is an error if it is not empty.
 type List []Finding
 
 // Add appends a finding.
@@ -46,12 +46,12 @@
 	*l = append(*l, Finding{Place: place, Message: fmt.Sprintf(format, args...)})
 }
 
-// HasPath reports whether a finding has the path.
+// HasPath reports whether the list has a finding at the path.
 func (l List) HasPath(path string) bool {
 	return slices.ContainsFunc(l, func(f Finding) bool { return f.Path == path })
 }
 
-// Sort orders the findings by line, column and path.
+// Sort orders the findings by file, line, column and path.
 func (l List) Sort() {
 	slices.SortStableFunc(l, func(a, b Finding) int {
 		return cmp.Or(
--- a/internal/version/gatewaysettings/settings_test.go
+++ b/internal/version/gatewaysettings/settings_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-const good = `{
+const validSettings = `{
   // a comment
   "instance": {"id": "g", "zone": "z"},
   "addresses": {"listen": "10.0.0.1:1", "health": "10.0.0.1:2", "peer": "10.0.0.1:3", "metrics": "10.0.0.1:4"},
@@ -17,7 +17,7 @@
 }`
 
 func TestParse(t *testing.T) {
-	s, err := Parse("gateway.jsonc", []byte(good))
+	s, err := Parse("gateway.jsonc", []byte(validSettings))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, s.Listen(), qt.Equals, "10.0.0.1:1")
 	qt.Check(t, s.Seeds(), qt.DeepEquals, []string{"10.0.0.2:3"})
@@ -27,7 +27,7 @@
 	qt.Check(t, s.Placement(), qt.Equals, "estimate")
 	qt.Check(t, s.Bounds().Drain, qt.Equals, 2*time.Second)
 
-	s, err = Parse("gateway.jsonc", []byte(strings.Replace(good, `"store"`,
+	s, err = Parse("gateway.jsonc", []byte(strings.Replace(validSettings, `"store"`,
 		`"limits": {"cores": 0.144, "linkMegabits": 20.0}, "promises": {"leaving": "4000ms", "inForce": "3s"}, "store"`, 1)))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, s.Bounds().Drain, qt.Equals, 4*time.Second)
@@ -35,22 +35,22 @@
 	qt.Check(t, s.Capacity(), qt.Equals, uint32(2880))
 }
 
-// A broken file names every fault with its place, all at once.
-func TestParseNamesEveryFault(t *testing.T) {
+// An invalid file must be refused with every fault and its position in one error.
+func TestParseReportsEveryFault(t *testing.T) {
 	for name, test := range map[string]struct{ from, to, want string }{
-		"malformed":        {`"store":`, `"store" `, `gateway.jsonc:5:37: malformed JSON`},
-		"missing":          {`"store": "10.0.0.9:5", `, ``, `store: missing`},
-		"name for IP":      {`10.0.0.9:5`, `host:5`, `store: must be an IP number and port`},
-		"unknown field":    {`"grace"`, `"grase"`, `grase: unknown field`},
-		"negative":         {`"slack": 54`, `"slack": -1`, `retries: ratio and slack must not be negative`},
-		"no duration":      {`"8s"`, `8`, `grace: must be a duration`},
-		"no capacity":      {`"store"`, `"limits": {"cores": 0, "linkMegabits": 20}, "store"`, `limits: cores and linkMegabits must be positive`},
-		"half a promise":   {`"store"`, `"promises": {"leaving": "2s"}, "store"`, `promises.inForce: missing`},
-		"no promise":       {`"store"`, `"promises": {"leaving": "2s", "inForce": "1ms"}, "store"`, `promises.inForce: must be`},
-		"seed is no place": {`["10.0.0.2:3"]`, `["x"]`, `seeds[0]: must be an IP number and port`},
+		"malformed":            {`"store":`, `"store" `, `gateway.jsonc:5:37: malformed JSON`},
+		"missing":              {`"store": "10.0.0.9:5", `, ``, `store: missing`},
+		"name for IP":          {`10.0.0.9:5`, `host:5`, `store: must be an IP number and port`},
+		"unknown field":        {`"grace"`, `"grase"`, `grase: unknown field`},
+		"negative":             {`"slack": 54`, `"slack": -1`, `retries: ratio and slack must not be negative`},
+		"no duration":          {`"8s"`, `8`, `grace: must be a duration`},
+		"no capacity":          {`"store"`, `"limits": {"cores": 0, "linkMegabits": 20}, "store"`, `limits: cores and linkMegabits must be positive`},
+		"incomplete promises":  {`"store"`, `"promises": {"leaving": "2s"}, "store"`, `promises.inForce: missing`},
+		"bound too short":      {`"store"`, `"promises": {"leaving": "2s", "inForce": "1ms"}, "store"`, `promises.inForce: must be`},
+		"invalid seed address": {`["10.0.0.2:3"]`, `["x"]`, `seeds[0]: must be an IP number and port`},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := Parse("gateway.jsonc", []byte(strings.Replace(good, test.from, test.to, 1)))
+			_, err := Parse("gateway.jsonc", []byte(strings.Replace(validSettings, test.from, test.to, 1)))
 			qt.Assert(t, err, qt.IsNotNil)
 			qt.Check(t, err.Error(), qt.Contains, test.want)
 		})
@@ -59,12 +59,11 @@
 	qt.Check(t, strings.Count(err.Error(), "missing"), qt.Equals, 7, qt.Commentf("%v", err))
 }
 
-// FuzzParse reads whatever stands in the file: it is refused with a place, or
-// everything in it is usable.
+// FuzzParse parses arbitrary contents: a file must be refused, or its settings must be usable.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSettings))
 	f.Add([]byte(`{"instance": {"id": "g"`))
-	f.Add([]byte(strings.Replace(good, `"8s"`, `"-8s"`, 1)))
+	f.Add([]byte(strings.Replace(validSettings, `"8s"`, `"-8s"`, 1)))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s, err := Parse("gateway.jsonc", text)
 		if err != nil {
--- a/internal/version/record/fuzz_test.go
+++ b/internal/version/record/fuzz_test.go
@@ -9,25 +9,25 @@
 	"carawayspread/internal/version/snapshot"
 )
 
-// What another daemon or the store sends makes a whole record or snapshot, or
-// an error, and survives another turn through the codec.
+// Bytes from another daemon or the store must decode into a complete record or snapshot, or fail. What
+// was decoded must encode and decode again.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"version":3,"actor":"ana","at":"2026-12-02T09:30:00Z","attempt":"x","change":{"set":{"workspaces":[{"name":"a"}]}}}`))
 	f.Add([]byte(`{"version":9,"config":{"set":{"classes":[{"name":"a","whole":"1s","share":1}]}}}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		if r, err := Decode(body); err == nil {
-			again, err := r.Encode()
+			encoded, err := r.Encode()
 			qt.Assert(t, err, qt.IsNil)
-			_, err = Decode(again)
+			_, err = Decode(encoded)
 			qt.Assert(t, err, qt.IsNil)
 			cfg, err := r.Apply(carawayspread.NewConfig(r.Version-1, nil, nil, nil))
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, cfg.Version(), qt.Equals, r.Version)
 		}
 		if cfg, err := snapshot.Decode(body); err == nil {
-			again, err := snapshot.Encode(cfg)
+			encoded, err := snapshot.Encode(cfg)
 			qt.Assert(t, err, qt.IsNil)
-			_, err = snapshot.Decode(again)
+			_, err = snapshot.Decode(encoded)
 			qt.Assert(t, err, qt.IsNil)
 		}
 	})
--- a/internal/version/record/record.go
+++ b/internal/version/record/record.go
@@ -1,5 +1,5 @@
-// Package record holds one accepted change as the configuration log and the
-// daemons keep it.
+// Package record holds one accepted change in the form that the configuration log and the daemons
+// store.
 package record
 
 import (
@@ -15,8 +15,8 @@
 // Record is one accepted change. Its fields must not be modified.
 type Record struct {
 	Version carawayspread.Version `json:"version"` // the version that the change made
-	Actor   string                `json:"actor"`   // who asked for it
-	At      time.Time             `json:"at"`      // by the clock of the daemon that took it
+	Actor   string                `json:"actor"`   // operator who requested it
+	At      time.Time             `json:"at"`      // by the clock of the daemon that accepted it
 	Attempt string                `json:"attempt"` // the token of the attempt that wrote it
 	Change  *change.Change        `json:"change"`
 }
@@ -39,9 +39,8 @@
 	return body, trace.Wrap(err)
 }
 
-// Apply returns the configuration that follows cfg. A record of any version but
-// the next one is refused: applied over a gap or twice it would make a
-// configuration that was never accepted.
+// Apply returns the configuration that follows cfg. A record of any version but the next one is
+// refused: applied across a gap or twice, it would produce a configuration that was never accepted.
 func (r Record) Apply(cfg *carawayspread.Config) (*carawayspread.Config, error) {
 	if r.Version != cfg.Version()+1 {
 		return nil, trace.CompareFailed("record %d does not follow version %d", r.Version, cfg.Version())
--- a/internal/version/record/record_test.go
+++ b/internal/version/record/record_test.go
@@ -9,7 +9,7 @@
 	"carawayspread/internal/version/change"
 )
 
-// A record that arrives twice, late or over a gap must not make a version.
+// A record that arrives twice, late or across a gap must not produce a version.
 func TestApplyNextOnly(t *testing.T) {
 	held := carawayspread.NewConfig(2, nil, nil, nil)
 	add := change.New(change.SetWorkspace(carawayspread.NewWorkspace("cadastre")))
--- a/internal/version/settings/examples_test.go
+++ b/internal/version/settings/examples_test.go
@@ -11,7 +11,7 @@
 	"carawayspread/internal/version/change"
 )
 
-// Every example passes the checks that a daemon and the log would make of it.
+// Guards against examples that a daemon or the configuration log would refuse.
 func TestExamples(t *testing.T) {
 	names, err := filepath.Glob("../../../examples/*/*.jsonc")
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/version/settings/parse.go
+++ b/internal/version/settings/parse.go
@@ -20,10 +20,11 @@
 	maxSlots       = 4096
 	minTimeout     = time.Millisecond
 	maxTimeout     = 24 * time.Hour
-	// minSilence exceeds the second between two heartbeats of a sidecar; a
-	// shorter bound would cut every request that waits for its first byte.
-	minSilence = 1500 * time.Millisecond
-	// minGrace leaves running requests more time than a daemon takes to end.
+	// minBetweenBytes exceeds the second between two heartbeats of a sidecar; a shorter timeout would
+	// abort every request that waits for its first byte.
+	minBetweenBytes = 1500 * time.Millisecond
+	// minGrace exceeds the time that a daemon takes to shut down, so that running requests have time
+	// to finish.
 	minGrace = 5 * time.Second
 )
 
@@ -77,13 +78,12 @@
 
 	seen := map[string]string{}
 	for _, name := range []string{"listen", "control", "admin"} {
-		distinct(node.Field(name), seen)
+		checkUnique(node.Field(name), seen)
 	}
 }
 
-// readRolePolicy reads how the roles of engines are planned. Without a word of
-// the deployment that its engines serve whole requests in every role, none is
-// planned.
+// readRolePolicy reads the policy that plans the roles of engines. Without this setting no roles are
+// planned, since the deployment has not stated that its engines serve whole requests in every role.
 func (s *Settings) readRolePolicy(node document.Node) {
 	s.rolePolicy = "static"
 	if node.Exists() {
@@ -96,11 +96,11 @@
 	items, _ := node.Items()
 	for _, item := range items {
 		s.peers = append(s.peers, item.Address())
-		distinct(item, seen)
+		checkUnique(item, seen)
 	}
 }
 
-// read takes the platform's part; an empty role reads the defaults.
+// read reads the platform section; with an empty role, that of the defaults, which has no addresses.
 func (p *Platform) read(node document.Node, role carawayspread.InstanceRole) {
 	node = node.Object("table", "tableName", "objects", "bucket", "instanceList", "weights", "awsRegion")
 	if role != "" {
@@ -147,7 +147,7 @@
 		overlay(target, node.Field(name), func(n document.Node) time.Duration {
 			switch name {
 			case "betweenBytes":
-				return n.Duration(minSilence, maxTimeout)
+				return n.Duration(minBetweenBytes, maxTimeout)
 			case "grace":
 				return n.Duration(minGrace, maxTimeout)
 			}
@@ -173,8 +173,8 @@
 	guards := map[string]string{}
 	for _, item := range items {
 		s.endpoints = append(s.endpoints, readEndpoint(item))
-		distinct(item.Field("id"), ids)
-		distinct(item.Field("orderGuard"), guards)
+		checkUnique(item.Field("id"), ids)
+		checkUnique(item.Field("orderGuard"), guards)
 	}
 }
 
@@ -195,9 +195,9 @@
 	return e
 }
 
-// readOrderGuard asks for a guard where nothing else stops the orders of a
-// paused predecessor: symptom, two sidecars order one engine. The guard is
-// exclusive only on one instance, so that its address must be on loopback.
+// readOrderGuard requires a guard where nothing else stops the orders of a paused predecessor;
+// without one, two sidecars would give orders to one engine. The guard is exclusive only within one
+// instance, so that its address must be on loopback.
 func readOrderGuard(node document.Node, e Endpoint) string {
 	guard := node.Field("orderGuard")
 	if !guard.Exists() {
@@ -213,16 +213,16 @@
 	return address
 }
 
-// overlay replaces the default where the file states a value.
+// overlay replaces the default if the file states a value.
 func overlay[T any](target *T, node document.Node, read func(document.Node) T) {
 	if node.Exists() {
 		*target = read(node)
 	}
 }
 
-// distinct reports a string that an earlier node holds. Port 0 is never a
-// duplicate, since it stands for any free port.
-func distinct(node document.Node, seen map[string]string) {
+// checkUnique reports a string that an earlier node has. Port 0 is never a duplicate, since it stands
+// for any free port.
+func checkUnique(node document.Node, seen map[string]string) {
 	text, ok := node.UncheckedText()
 	if !ok {
 		return
--- a/internal/version/settings/parts.go
+++ b/internal/version/settings/parts.go
@@ -6,33 +6,33 @@
 	"carawayspread"
 )
 
-// Platform tells where the platform's services are.
+// Platform holds the addresses and names of the platform's services.
 type Platform struct {
-	table        string // IP number and port
+	table        string // IP address and port
 	tableName    string
-	objects      string // IP number and port
+	objects      string // IP address and port
 	bucket       string
-	instanceList string // IP number and port
-	weights      string // IP number and port; sidecars only
+	instanceList string // IP address and port
+	weights      string // IP address and port; sidecars only
 	awsRegion    string // the region that requests are signed for
 }
 
-// Table returns IP number and port of the table service.
+// Table returns the IP address and port of the table service.
 func (p Platform) Table() string { return p.table }
 
 // TableName returns the name of the table.
 func (p Platform) TableName() string { return p.tableName }
 
-// Objects returns IP number and port of the object store.
+// Objects returns the IP address and port of the object store.
 func (p Platform) Objects() string { return p.objects }
 
 // Bucket returns the bucket in the object store.
 func (p Platform) Bucket() string { return p.bucket }
 
-// InstanceList returns IP number and port of the instance list.
+// InstanceList returns the IP address and port of the instance list.
 func (p Platform) InstanceList() string { return p.instanceList }
 
-// Weights returns IP number and port of the weight store; empty for entries.
+// Weights returns the IP address and port of the weight store; empty for entries.
 func (p Platform) Weights() string { return p.weights }
 
 // AWSRegion returns the region that requests to table and objects are signed for.
@@ -43,11 +43,11 @@
 	id      carawayspread.EndpointID // unique, never reused
 	service string
 	kind    carawayspread.Kind
-	address string // IP number and port of the worker
-	// checksFence says that the worker refuses an order with an old fencing
-	// number. Where false, orderGuard is set.
+	address string // IP address and port of the worker
+	// checksFence states that the worker refuses an order with an old fencing token. A model engine
+	// without this has an orderGuard.
 	checksFence bool
-	orderGuard  string // loopback IP number and port held while orders are given
+	orderGuard  string // loopback IP address and port bound while orders are given
 	slots       int    // requests that the worker can run at once; at least 1
 }
 
@@ -57,23 +57,23 @@
 // Service returns the service that the endpoint belongs to.
 func (e Endpoint) Service() string { return e.service }
 
-// Kind tells model engines from plain services.
+// Kind returns whether the worker is a model engine or a plain service.
 func (e Endpoint) Kind() carawayspread.Kind { return e.kind }
 
-// Address returns IP number and port of the worker.
+// Address returns the IP address and port of the worker.
 func (e Endpoint) Address() string { return e.address }
 
-// ChecksFence reports whether the worker refuses outdated fencing numbers.
+// ChecksFence reports whether the worker refuses outdated fencing tokens.
 func (e Endpoint) ChecksFence() bool { return e.checksFence }
 
-// OrderGuard returns the loopback address of the order guard; may be empty
-// where the worker checks fences or takes no orders.
+// OrderGuard returns the loopback address of the order guard; it may be empty if the worker checks
+// fencing tokens or takes no orders.
 func (e Endpoint) OrderGuard() string { return e.orderGuard }
 
 // Slots returns how many requests the worker can run at once.
 func (e Endpoint) Slots() int { return e.slots }
 
-// Limits bounds what is read from others.
+// Limits bounds the size of what is received.
 type Limits struct {
 	bodyBytes   int64
 	headerBytes int
@@ -85,7 +85,7 @@
 // HeaderBytes returns the size of the largest request header.
 func (l Limits) HeaderBytes() int { return l.headerBytes }
 
-// Timeouts bounds waiting. Each is positive.
+// Timeouts holds the bounds on waiting. Each is positive.
 type Timeouts struct {
 	readHeader, readBody, idle, betweenBytes time.Duration
 	table                                    time.Duration
@@ -102,8 +102,8 @@
 // Idle bounds how long an unused connection is kept.
 func (t Timeouts) Idle() time.Duration { return t.idle }
 
-// BetweenBytes bounds the silence of a sidecar that runs a request; its
-// heartbeats count.
+// BetweenBytes bounds the time between two bytes from a sidecar that runs a request; its heartbeats
+// count.
 func (t Timeouts) BetweenBytes() time.Duration { return t.betweenBytes }
 
 // Table bounds one request to the table service.
@@ -112,12 +112,12 @@
 // ConfigPoll is the mean time between two reads of the configuration log.
 func (t Timeouts) ConfigPoll() time.Duration { return t.configPoll }
 
-// ConfigFresh is the age of evidence at which a configuration must be proved
-// current again before a request is served.
+// ConfigFresh is the time since the last confirmation from which on the configuration must be
+// confirmed to be the newest again before a request is served.
 func (t Timeouts) ConfigFresh() time.Duration { return t.configFresh }
 
-// ConfigRefresh bounds how long a request waits for that proof.
+// ConfigRefresh bounds how long a request waits for that confirmation.
 func (t Timeouts) ConfigRefresh() time.Duration { return t.configRefresh }
 
-// Grace returns how long the daemon may take to end after the order to.
+// Grace returns how long the daemon may take to shut down once it has been told to.
 func (t Timeouts) Grace() time.Duration { return t.grace }
--- a/internal/version/settings/settings.go
+++ b/internal/version/settings/settings.go
@@ -21,17 +21,17 @@
 	region string
 	zone   string
 
-	listen  string // IP number and port for callers, or for entries before a sidecar
-	control string // IP number and port of the control service, TCP and UDP
-	admin   string // IP number and port of the administration API; entries only
+	listen  string // IP address and port for callers, or for entries before a sidecar
+	control string // IP address and port of the control service, TCP and UDP
+	admin   string // IP address and port of the administration API; entries only
 
 	platform  Platform
-	peers     []string // control addresses to ask where the instance list is down
+	peers     []string // control addresses used while the instance list is down
 	endpoints []Endpoint
 	limits    Limits
 	timeouts  Timeouts
 
-	rolePolicy string // a registered policy
+	rolePolicy string // name of a registered policy
 }
 
 // Read checks the settings file with that name.
@@ -55,20 +55,19 @@
 // Zone returns the availability zone of the instance.
 func (s *Settings) Zone() string { return s.zone }
 
-// Listen returns IP number and port of the data path.
+// Listen returns the IP address and port of the data path.
 func (s *Settings) Listen() string { return s.listen }
 
-// Control returns IP number and port of the control service.
+// Control returns the IP address and port of the control service.
 func (s *Settings) Control() string { return s.control }
 
-// Admin returns IP number and port of the administration API; empty for sidecars.
+// Admin returns the IP address and port of the administration API; empty for sidecars.
 func (s *Settings) Admin() string { return s.admin }
 
-// Platform returns where the platform's services are.
+// Platform returns the addresses and names of the platform's services.
 func (s *Settings) Platform() Platform { return s.platform }
 
-// Peers returns control addresses to ask where the instance list is down; not
-// to be modified.
+// Peers returns control addresses used while the instance list is down; not to be modified.
 func (s *Settings) Peers() []string { return s.peers }
 
 // Endpoints returns the endpoints beside a sidecar; not to be modified.
@@ -77,13 +76,13 @@
 // RolePolicy returns the name of the policy that plans the engines' roles.
 func (s *Settings) RolePolicy() string { return s.rolePolicy }
 
-// Limits returns the bounds on what is read from others.
+// Limits returns the bounds on the size of what is received.
 func (s *Settings) Limits() Limits { return s.limits }
 
 // Timeouts returns the bounds on waiting.
 func (s *Settings) Timeouts() Timeouts { return s.timeouts }
 
-// Instance returns the settings as a row of the instance list.
+// Instance returns the settings as an entry of the instance list.
 func (s *Settings) Instance() carawayspread.Instance {
 	instance := carawayspread.Instance{
 		ID: s.id, Role: s.role, State: carawayspread.InstanceLive,
--- a/internal/version/settings/settings_test.go
+++ b/internal/version/settings/settings_test.go
@@ -27,8 +27,8 @@
 	qt.Check(t, s.Instance().Endpoints, qt.HasLen, 2)
 }
 
-// An operator corrects a file once: every fault of it is told in one answer,
-// each at its line, and no fault is told twice through what hangs on it.
+// Every fault of a file must be reported in one error, each at its line, so that an operator corrects
+// the file once. No fault may be reported again through values that depend on the faulty one.
 func TestParseFindings(t *testing.T) {
 	tests := map[string]struct{ findings int }{
 		"tenMistakes": {findings: 10},
--- a/internal/version/snapshot/snapshot.go
+++ b/internal/version/snapshot/snapshot.go
@@ -1,5 +1,5 @@
-// Package snapshot encodes a whole configuration for daemons that start or are
-// far behind the configuration log.
+// Package snapshot encodes a complete configuration for daemons that start or are far behind the
+// configuration log.
 package snapshot
 
 import (
@@ -14,7 +14,7 @@
 // Snapshot is the JSON form of one version.
 type Snapshot struct {
 	Version carawayspread.Version `json:"version"`
-	Config  *change.Stored        `json:"config"` // makes the version out of an empty configuration
+	Config  *change.Stored        `json:"config"` // the change that turns an empty configuration into the version
 }
 
 // Encode returns the JSON form of a configuration.
@@ -33,9 +33,9 @@
 	if s.Version == 0 || s.Config == nil {
 		return nil, trace.BadParameter("configuration snapshot lacks its version or content")
 	}
-	whole, err := s.Config.Change()
+	full, err := s.Config.Change()
 	if err != nil {
 		return nil, err
 	}
-	return whole.Replay(carawayspread.NewConfig(s.Version-1, nil, nil, nil)), nil
+	return full.Replay(carawayspread.NewConfig(s.Version-1, nil, nil, nil)), nil
 }
