--- a/cmd/gateway/alone_test.go
+++ b/cmd/gateway/alone_test.go
@@ -23,7 +23,7 @@
 	next := &fleet{store: f.store, out: &lines{}, ended: make(chan error, 1)}
 	text := fmt.Sprintf(`{"instance":{"id":"g2","zone":"z"},"addresses":{"listen":%q,"health":%q,"peer":%q,"metrics":%q},
 		"store":%q,"seeds":[%q],"grace":"8s","memoryMegabytes":100,"retries":{"ratio":0.2,"slack":50,"window":"10s"}}`,
-		free, free, free, free, store, f.daemon.Peer())
+		free, free, free, free, store, f.daemon.PeerAddress())
 	var err error
 	next.settings, err = gatewaysettings.Parse("test", []byte(text))
 	qt.Assert(t, err, qt.IsNil)
@@ -73,7 +73,7 @@
 	f.list(startWorker(t, "w"), "plain", "", "ready", 1)
 	f.start(t)
 	f.ready(t)
-	conn, err := net.Dial("tcp", f.daemon.Listen())
+	conn, err := net.Dial("tcp", f.daemon.CallerAddress())
 	qt.Assert(t, err, qt.IsNil)
 	defer func() { _ = conn.Close() }()
 	f.stop()
--- a/cmd/gateway/bench_test.go
+++ b/cmd/gateway/bench_test.go
@@ -29,7 +29,7 @@
 				for !f.daemon.Ready() {
 					time.Sleep(time.Millisecond)
 				}
-				address = f.daemon.Listen()
+				address = f.daemon.CallerAddress()
 			}
 			body := strings.Repeat("x", 600)
 			b.ReportAllocs()
--- a/cmd/gateway/gateway_test.go
+++ b/cmd/gateway/gateway_test.go
@@ -105,7 +105,7 @@
 	storeTime := storetime.New(uptime.Clock{})
 	store := rowsclient.New(exchange, f.settings.Store(), rowsclient.WithClock(uptime.Clock{}, storeTime.Observe))
 	f.daemon, err = gatewayd.New(f.settings, clock, quiet, f.out, gatewayd.Ports{
-		Exchange: exchange, Protocol: wire.Protocol{},
+		Transport: exchange, Protocol: wire.Protocol{},
 		Source: func(sink *gatewayd.Daemon) follower.Source {
 			return catalog.New(store, sink, quiet)
 		},
@@ -139,7 +139,7 @@
 
 // ask sends a request on a connection of its own.
 func (f *fleet) ask(method, path, id, body string, headers ...string) (*http.Response, string, error) {
-	req, err := http.NewRequest(method, "http://"+f.daemon.Listen()+path, strings.NewReader(body))
+	req, err := http.NewRequest(method, "http://"+f.daemon.CallerAddress()+path, strings.NewReader(body))
 	if err != nil {
 		return nil, "", err
 	}
@@ -340,7 +340,7 @@
 	f.list(startWorker(t, "w"), "plain", "", "ready", 1)
 	f.start(t)
 	f.ready(t)
-	conn, err := net.Dial("tcp", f.daemon.Listen())
+	conn, err := net.Dial("tcp", f.daemon.CallerAddress())
 	qt.Assert(t, err, qt.IsNil)
 	defer func() { _ = conn.Close() }()
 	answers := bufio.NewReader(conn)
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -71,7 +71,7 @@
 		usage = cloud.New(exchange, u.Address(), s.ID())
 	}
 	d, err := gatewayd.New(s, clock, log.Log, os.Stdout, gatewayd.Ports{
-		Exchange: exchange,
+		Transport: exchange,
 		Protocol: wire.Protocol{},
 		Source: func(sink *gatewayd.Daemon) follower.Source {
 			return catalog.New(store, sink, log.Log)
@@ -86,7 +86,7 @@
 		return err
 	}
 	stdlog.SetFlags(0)
-	stdlog.SetOutput(d.Library())
+	stdlog.SetOutput(d.LibraryWriter())
 	go reread(c.Context, c.String("config"), s)
 	return d.Run(c.Context)
 }
--- a/cmd/gateway/reload_test.go
+++ b/cmd/gateway/reload_test.go
@@ -78,7 +78,7 @@
 	f.list(startWorker(t, "w"), "plain", "", "ready", 1)
 	f.start(t)
 	f.ready(t)
-	resp, err := http.Get("http://" + f.daemon.Metrics() + "/metrics")
+	resp, err := http.Get("http://" + f.daemon.MetricsAddress() + "/metrics")
 	qt.Assert(t, err, qt.IsNil)
 	body, err := io.ReadAll(resp.Body)
 	_ = resp.Body.Close()
--- a/internal/controller/usagereporter/reporter.go
+++ b/internal/controller/usagereporter/reporter.go
@@ -65,9 +65,9 @@
 	Sink        carawayspread.UsageSink
 	Table       carawayspread.Table
 	Uptime      carawayspread.Uptime
-	TrueTime    func() (time.Duration, bool) // since the start of 1970
+	SyncedTime    func() (time.Duration, bool) // since the start of 1970
 	Workspaces  func() map[string]bool       // names of those in force
-	ServesAlone time.Duration                // how long a process may count that nobody hears
+	MaxIsolation time.Duration                // how long a process may count that nobody hears
 	Backoff     Backoff                      // between tries of one report
 	Clock       carawayspread.Clock
 	Log         *decisionlog.Log
@@ -120,7 +120,7 @@
 }
 
 func (r *Reporter) tick(ctx context.Context) {
-	now, known := r.deps.TrueTime()
+	now, known := r.deps.SyncedTime()
 	if !known {
 		return
 	}
@@ -166,7 +166,7 @@
 // it may wait, and where nobody is known to have counted.
 func (r *Reporter) decide(ctx context.Context, window int64, p *pending, now time.Duration) (*usagerecords.Record, error) {
 	begun := r.terms.End(window) - r.terms.Length()
-	complete := r.deps.Ledger.Complete(window, r.deps.Fleet.Processes(now-begun+r.deps.ServesAlone))
+	complete := r.deps.Ledger.Complete(window, r.deps.Fleet.Processes(now-begun+r.deps.MaxIsolation))
 	decidable := complete || now >= r.terms.Due(window)-reserve
 	if p.read && !decidable {
 		return nil, nil
--- a/internal/controller/usagereporter/world_test.go
+++ b/internal/controller/usagereporter/world_test.go
@@ -290,9 +290,9 @@
 	p.ledger = usage.New(id)
 	p.publisher = usagepublisher.New(p.ledger, p, terms, now, p)
 	p.reporter = New(p.name, terms, Deps{
-		Ledger: p.ledger, Fleet: p, Sink: side{w.sink, p}, Table: w.table, Uptime: p, TrueTime: now,
+		Ledger: p.ledger, Fleet: p, Sink: side{w.sink, p}, Table: w.table, Uptime: p, SyncedTime: now,
 		Workspaces:  func() map[string]bool { return map[string]bool{"a": true, "b": true} },
-		ServesAlone: 5 * time.Second, Backoff: w.backoff, Clock: p, Log: decisionlog.New(io.Discard), Metrics: metrics.NewSet(),
+		MaxIsolation: 5 * time.Second, Backoff: w.backoff, Clock: p, Log: decisionlog.New(io.Discard), Metrics: metrics.NewSet(),
 	})
 	p.ledger.AddNames(map[string]bool{"a": true, "b": true})
 	w.mu.Lock()
--- a/internal/daemon/base/group.go
+++ b/internal/daemon/base/group.go
@@ -52,7 +52,7 @@
 		<-ended
 		return nil
 	}, func(error) {
-		s.End(serverEnd)
+		s.ShutdownWithin(serverEnd)
 		close(ended)
 	})
 }
--- a/internal/daemon/dev/dev.go
+++ b/internal/daemon/dev/dev.go
@@ -131,15 +131,15 @@
 	return nil
 }
 
-// Listen returns IP number and port for callers.
-func (f *Fleet) Listen() string { return f.entry.Instance().Address }
+// CallerAddress returns the IP address and port for callers.
+func (f *Fleet) CallerAddress() string { return f.entry.Instance().Address }
 
-// Admin returns IP number and port of the administration API.
-func (f *Fleet) Admin() string { return f.entry.Admin() }
+// AdminAddress returns the IP address and port of the administration API.
+func (f *Fleet) AdminAddress() string { return f.entry.AdminAddress() }
 
 // Ready returns when the entry knows every endpoint of the fleet.
 func (f *Fleet) Ready(ctx context.Context) error {
-	for f.entry.Known() < len(zones)*(enginesPerZone+1) {
+	for f.entry.RoutedEndpoints() < len(zones)*(enginesPerZone+1) {
 		select {
 		case <-f.clock.After(readyPoll):
 		case <-ctx.Done():
@@ -154,7 +154,7 @@
 // announce prints the addresses once a request would be served.
 func (f *Fleet) announce(ctx context.Context, out io.Writer) error {
 	if f.Ready(ctx) == nil {
-		_, _ = fmt.Fprintf(out, "callers:        http://%s\nadministration: http://%s\n", f.Listen(), f.Admin())
+		_, _ = fmt.Fprintf(out, "callers:        http://%s\nadministration: http://%s\n", f.CallerAddress(), f.AdminAddress())
 	}
 	<-ctx.Done()
 	return nil
--- a/internal/daemon/dev/dev_test.go
+++ b/internal/daemon/dev/dev_test.go
@@ -30,7 +30,7 @@
 		qt.Check(t, <-ended, qt.IsNil)
 	})
 	qt.Assert(t, fleet.Ready(ctx), qt.IsNil)
-	return "http://" + fleet.Listen()
+	return "http://" + fleet.CallerAddress()
 }
 
 func client(base string) openai.Client {
--- a/internal/daemon/dev/early_test.go
+++ b/internal/daemon/dev/early_test.go
@@ -26,7 +26,7 @@
 	ended := make(chan error, 1)
 	answers := make(chan [2]any, 1)
 	go func() { // asks before anything runs: the listener is open, nobody accepts yet
-		resp, err := http.Get("http://" + fleet.Listen() + "/v1/models")
+		resp, err := http.Get("http://" + fleet.CallerAddress() + "/v1/models")
 		if err != nil {
 			answers <- [2]any{0, err.Error()}
 			return
@@ -45,8 +45,8 @@
 	default:
 		t.Errorf("%v %v", first[0], first[1])
 	}
-	qt.Check(t, <-printed, qt.Contains, fleet.Listen())
-	req, _ := http.NewRequest(http.MethodPost, "http://"+fleet.Listen()+"/v1/completions", strings.NewReader(`{"model":"stand-in","prompt":"x"}`))
+	qt.Check(t, <-printed, qt.Contains, fleet.CallerAddress())
+	req, _ := http.NewRequest(http.MethodPost, "http://"+fleet.CallerAddress()+"/v1/completions", strings.NewReader(`{"model":"stand-in","prompt":"x"}`))
 	req.Header.Set("X-Workspace", "demo")
 	req.Header.Set("X-Class", "interactive")
 	resp, err := http.DefaultClient.Do(req)
--- a/internal/daemon/entryd/daemon.go
+++ b/internal/daemon/entryd/daemon.go
@@ -73,15 +73,15 @@
 
 func (d *Daemon) listen() error {
 	s := d.base.Settings()
-	ready := func() bool { return !d.entry.Draining() && d.Known() > 0 }
+	ready := func() bool { return !d.entry.Draining() && d.RoutedEndpoints() > 0 }
 	callers := http.NewServeMux()
 	callers.Handle("/", d.entry)
-	server.ObserveHealth(callers, ready)
+	server.HandleHealth(callers, ready)
 	operators := http.NewServeMux()
 	operators.Handle("/admin/", d.administration())
-	server.Observe(operators, ready, d.entry.Metrics(), d.base.Metrics())
+	server.HandleHealthAndMetrics(operators, ready, d.entry.Metrics(), d.base.Metrics())
 	peers := http.NewServeMux()
-	server.Observe(peers, ready, d.entry.Metrics(), d.base.Metrics())
+	server.HandleHealthAndMetrics(peers, ready, d.entry.Metrics(), d.base.Metrics())
 	peers.Handle(control.ControlPathPrefix, control.NewControlServer(d))
 	var err error
 	if d.data, err = d.base.Listen(s.Listen(), callers); err != nil {
@@ -225,8 +225,8 @@
 	return row
 }
 
-// Admin returns IP number and port of the administration API.
-func (d *Daemon) Admin() string { return d.admin.Address() }
+// AdminAddress returns the IP address and port of the administration API.
+func (d *Daemon) AdminAddress() string { return d.admin.Address() }
 
-// Known returns the number of endpoints that the entry routes to.
-func (d *Daemon) Known() int { return int(d.routed.Load()) }
+// RoutedEndpoints returns the number of endpoints that the entry routes to.
+func (d *Daemon) RoutedEndpoints() int { return int(d.routed.Load()) }
--- a/internal/daemon/gatewayd/daemon.go
+++ b/internal/daemon/gatewayd/daemon.go
@@ -50,7 +50,7 @@
 
 // Ports are what the platform's translation brings.
 type Ports struct {
-	Exchange carawayspread.EndpointTransport
+	Transport carawayspread.EndpointTransport
 	Protocol carawayspread.Protocol
 	// Source reads what operators and endpoints publish, and hands it to the sink.
 	Source func(sink *Daemon) follower.Source
@@ -115,7 +115,7 @@
 		Clock: clock, Zone: s.Zone(), Broadcast: d.peers.Tell,
 		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
-	d.gateway = gateway.New(ports.Exchange, ports.Protocol, d.placer, clock, d.lines,
+	d.gateway = gateway.New(ports.Transport, ports.Protocol, d.placer, clock, d.lines,
 		gateway.WithConfigFreshness(evidence{d}, s.Revoked(), s.Terms().ConfigApply),
 		gateway.WithUsage(d.began),
 		gateway.WithRetryBudget(s.Budget(), d.peers.Share),
@@ -230,7 +230,7 @@
 	}
 	d.control = server.New(d.peers.Listener(), d.learner.Handler())
 	observe := http.NewServeMux()
-	server.Observe(observe, d.Ready, d.gateway.Metrics())
+	server.HandleHealthAndMetrics(observe, d.Ready, d.gateway.Metrics())
 	d.metrics, err = server.Listen(d.settings.Metrics(), observe)
 	return err
 }
@@ -241,22 +241,22 @@
 	}
 }
 
-// Listen returns IP number and port for callers.
-func (d *Daemon) Listen() string { return d.listener.Addr().String() }
+// CallerAddress returns the IP address and port for callers.
+func (d *Daemon) CallerAddress() string { return d.listener.Addr().String() }
 
-// Peer returns IP number and port for peers.
-func (d *Daemon) Peer() string { return d.peers.Address() }
+// PeerAddress returns the IP address and port for peers.
+func (d *Daemon) PeerAddress() string { return d.peers.Address() }
 
-// Metrics returns IP number and port of the metrics.
-func (d *Daemon) Metrics() string { return d.metrics.Address() }
+// MetricsAddress returns the IP address and port of the metrics server.
+func (d *Daemon) MetricsAddress() string { return d.metrics.Address() }
 
 // Ready reports whether callers are better served here than elsewhere.
 func (d *Daemon) Ready() bool {
 	return !d.leaving.Load() && d.gateway.Routing() != nil && d.listed.Load() && d.gateway.CanAuthenticate()
 }
 
-// Library returns where what libraries print goes.
-func (d *Daemon) Library() io.Writer { return d.lines.EventWriter("library") }
+// LibraryWriter returns the writer for what libraries print.
+func (d *Daemon) LibraryWriter() io.Writer { return d.lines.EventWriter("library") }
 
 // Adopt takes a newer set of routes.
 func (d *Daemon) Adopt(t *carawayspread.Routing) {
@@ -310,7 +310,7 @@
 		}
 		return nil
 	})
-	d.log.WithField("listen", d.Listen()).WithField("health", d.health.Address()).
+	d.log.WithField("listen", d.CallerAddress()).WithField("health", d.health.Address()).
 		WithField("peer", d.peers.Address()).WithField("settings", d.settings.Digest()).Info("start")
 	select {
 	case <-ctx.Done():
--- a/internal/daemon/gatewayd/usage.go
+++ b/internal/daemon/gatewayd/usage.go
@@ -46,7 +46,7 @@
 		publisher: usagepublisher.New(ledger, d.peers, s.Terms(), d.trueTime.Now, d.clock),
 		reporter: usagereporter.New(d.settings.ID(), s.Terms(), usagereporter.Deps{
 			Ledger: ledger, Fleet: d.peers, Sink: ports.Usage, Table: ports.Table, Uptime: ports.Uptime,
-			TrueTime: d.trueTime.Now, Workspaces: d.workspaces, ServesAlone: servesAlone,
+			SyncedTime: d.trueTime.Now, Workspaces: d.workspaces, MaxIsolation: servesAlone,
 			Backoff: backoff.New(d.clock, reportRetryBase, reportRetryLimit),
 			Clock:   d.clock, Log: d.lines, Metrics: d.gateway.Metrics(),
 		}),
--- a/internal/daemon/server/server.go
+++ b/internal/daemon/server/server.go
@@ -91,9 +91,9 @@
 // Abort ends the contexts of all requests, those that still come included, with the cause.
 func (s *Server) Abort(cause error) { s.abort(cause) }
 
-// End stops accepting and returns after twice that time at the latest. Requests that take
+// ShutdownWithin stops accepting and returns after twice that time at the latest. Requests that take
 // longer than it have their contexts ended, and what is left then is closed.
-func (s *Server) End(within time.Duration) {
+func (s *Server) ShutdownWithin(within time.Duration) {
 	if s.shutdown(within) == nil {
 		return
 	}
@@ -109,10 +109,10 @@
 	return s.http.Shutdown(ctx)
 }
 
-// Observe adds the paths that every daemon has: /healthz answers while the
+// HandleHealthAndMetrics adds the paths that every daemon has: /healthz answers while the
 // process lives, /readyz while ready returns true, and /metrics.
-func Observe(mux *http.ServeMux, ready func() bool, sets ...*metrics.Set) {
-	ObserveHealth(mux, ready)
+func HandleHealthAndMetrics(mux *http.ServeMux, ready func() bool, sets ...*metrics.Set) {
+	HandleHealth(mux, ready)
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
 		for _, set := range sets {
 			set.WritePrometheus(w)
@@ -121,9 +121,9 @@
 	})
 }
 
-// ObserveHealth adds /healthz and /readyz alone, for the address that the
+// HandleHealth adds /healthz and /readyz alone, for the address that the
 // platform's balancer and callers reach.
-func ObserveHealth(mux *http.ServeMux, ready func() bool) {
+func HandleHealth(mux *http.ServeMux, ready func() bool) {
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("ok\n"))
 	})
--- a/internal/daemon/server/server_test.go
+++ b/internal/daemon/server/server_test.go
@@ -37,7 +37,7 @@
 			<-running
 			ended := make(chan struct{})
 			go func() {
-				s.End(within)
+				s.ShutdownWithin(within)
 				close(ended)
 			}()
 			select {
