--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -72,7 +72,7 @@
 	}
 	d, err := gatewayd.New(s, clock, log.Log, os.Stdout, gatewayd.Ports{
 		Transport: exchange,
-		Protocol: wire.Protocol{},
+		Protocol:  wire.Protocol{},
 		Source: func(sink *gatewayd.Daemon) follower.Source {
 			return catalog.New(store, sink, log.Log)
 		},
--- a/internal/controller/usagereporter/reporter.go
+++ b/internal/controller/usagereporter/reporter.go
@@ -60,18 +60,18 @@
 
 // Deps is what a Reporter acts on.
 type Deps struct {
-	Ledger      *usage.Ledger
-	Fleet       Fleet
-	Sink        carawayspread.UsageSink
-	Table       carawayspread.Table
-	Uptime      carawayspread.Uptime
-	SyncedTime    func() (time.Duration, bool) // since the start of 1970
-	Workspaces  func() map[string]bool       // names of those in force
+	Ledger       *usage.Ledger
+	Fleet        Fleet
+	Sink         carawayspread.UsageSink
+	Table        carawayspread.Table
+	Uptime       carawayspread.Uptime
+	SyncedTime   func() (time.Duration, bool) // since the start of 1970
+	Workspaces   func() map[string]bool       // names of those in force
 	MaxIsolation time.Duration                // how long a process may count that nobody hears
-	Backoff     Backoff                      // between tries of one report
-	Clock       carawayspread.Clock
-	Log         *decisionlog.Log
-	Metrics     *metrics.Set
+	Backoff      Backoff                      // between tries of one report
+	Clock        carawayspread.Clock
+	Log          *decisionlog.Log
+	Metrics      *metrics.Set
 }
 
 // Reporter is one process's side. Run is called once.
--- a/internal/controller/usagereporter/world_test.go
+++ b/internal/controller/usagereporter/world_test.go
@@ -291,7 +291,7 @@
 	p.publisher = usagepublisher.New(p.ledger, p, terms, now, p)
 	p.reporter = New(p.name, terms, Deps{
 		Ledger: p.ledger, Fleet: p, Sink: side{w.sink, p}, Table: w.table, Uptime: p, SyncedTime: now,
-		Workspaces:  func() map[string]bool { return map[string]bool{"a": true, "b": true} },
+		Workspaces:   func() map[string]bool { return map[string]bool{"a": true, "b": true} },
 		MaxIsolation: 5 * time.Second, Backoff: w.backoff, Clock: p, Log: decisionlog.New(io.Discard), Metrics: metrics.NewSet(),
 	})
 	p.ledger.AddNames(map[string]bool{"a": true, "b": true})
--- a/internal/daemon/gatewayd/daemon.go
+++ b/internal/daemon/gatewayd/daemon.go
@@ -51,7 +51,7 @@
 // Ports are what the platform's translation brings.
 type Ports struct {
 	Transport carawayspread.EndpointTransport
-	Protocol carawayspread.Protocol
+	Protocol  carawayspread.Protocol
 	// Source reads what operators and endpoints publish, and hands it to the sink.
 	Source func(sink *Daemon) follower.Source
 	// Table keeps the lease of orders to engines, and Engine gives them.
