--- a/internal/controller/usagepublisher/publisher.go
+++ b/internal/controller/usagepublisher/publisher.go
@@ -1,5 +1,5 @@
-// Package usagepublisher tells what this process counted to the processes that add
-// usage up.
+// Package usagepublisher sends the usage counts of this process to the collectors, the processes
+// that sum the usage of the fleet.
 package usagepublisher
 
 import (
@@ -12,46 +12,47 @@
 )
 
 const (
-	// publishEvery is the time between two statements: what a killed process counted
-	// in its last second is lost.
+	// publishEvery is the interval between statements. A killed process loses what it counted
+	// since its last one.
 	publishEvery = time.Second
-	// repeatEvery is the time between two statements while a collector has not
-	// acknowledged a closed window.
-	repeatEvery = 200 * time.Millisecond
-	// settle is how long after its end a window is closed. Requests to plain services
-	// are counted when they are answered, as of when they were sent.
-	settle = time.Second
-	// statementLimit is how many counts fit one packet.
-	statementLimit = 120
-	// finalSends is how often a process that ends repeats its last statements, and
-	// finalSendWait how long it waits for an acknowledgement.
-	finalSends    = 10
-	finalSendWait = 40 * time.Millisecond
+	// resendEvery is the interval between statements while some collector has not acknowledged
+	// a closed window.
+	resendEvery = 200 * time.Millisecond
+	// closeDelay is the time from the end of a window until it is closed. Requests to plain
+	// services are counted only when they are answered, in the window in which they were sent.
+	closeDelay = time.Second
+	// maxCountsPerStatement is the number of counts that fit into one packet.
+	maxCountsPerStatement = 120
+	// finalSends bounds how often a process that shuts down sends its final statements, and
+	// finalAckTimeout is the wait for acknowledgements after each time.
+	finalSends      = 10
+	finalAckTimeout = 40 * time.Millisecond
 )
 
-// Fleet says who collects, and reaches them.
+// Fleet knows the collectors and sends messages to them.
 type Fleet interface {
-	// Collectors returns the processes that add usage up, without this one, and
-	// whether this is one of them.
+	// Collectors returns the other processes that sum usage, and whether this process is one
+	// too.
 	Collectors() (others []carawayspread.Peer, self bool)
-	// SendUsage sends statements to a process. They may be lost.
+	// SendUsage sends statements to a process. Delivery is not guaranteed.
 	SendUsage(to carawayspread.Peer, statements []carawayspread.UsageStatement)
 }
 
-// Publisher is one process's side. Run is called once.
+// Publisher publishes the counts of one process. Run must be called only once; Acknowledged is
+// safe for concurrent use.
 type Publisher struct {
-	ledger *usage.Ledger
-	fleet  Fleet
-	terms  carawayspread.UsageWindows
-	now    func() (time.Duration, bool) // true time since the start of 1970
-	clock  carawayspread.Clock
-	acks   chan ack
-
-	// Below is used by Run alone.
-	first   int64                     // the first window that this process lived in; zero until it is known
-	acked   map[uint64]map[int64]bool // closed windows that a collector has whole
-	closed  []int64                   // that may still be reported
-	unacked bool                      // a collector has not acknowledged a closed window
+	ledger  *usage.Ledger
+	fleet   Fleet
+	windows carawayspread.UsageWindows
+	now     func() (time.Duration, bool) // synchronized time since the start of 1970
+	clock   carawayspread.Clock
+	acks    chan ack
+
+	// The fields below are used by Run only.
+	firstWindow int64                     // the window in which this process started; zero until known
+	acked       map[uint64]map[int64]bool // closed windows by the collectors that have all their counts
+	closed      []int64                   // closed windows that may still be reported
+	unacked     bool                      // some collector has not acknowledged a closed window
 }
 
 type ack struct {
@@ -59,41 +60,42 @@
 	window    int64
 }
 
-// New returns a publisher of the ledger.
-func New(ledger *usage.Ledger, fleet Fleet, terms carawayspread.UsageWindows, now func() (time.Duration, bool), clock carawayspread.Clock) *Publisher {
+// New returns a publisher of this process's counts in the ledger. now returns the synchronized
+// time since the start of 1970, and whether it is known.
+func New(ledger *usage.Ledger, fleet Fleet, windows carawayspread.UsageWindows, now func() (time.Duration, bool), clock carawayspread.Clock) *Publisher {
 	return &Publisher{
-		ledger: ledger, fleet: fleet, terms: terms, now: now, clock: clock,
+		ledger: ledger, fleet: fleet, windows: windows, now: now, clock: clock,
 		acks: make(chan ack, 64), acked: map[uint64]map[int64]bool{},
 	}
 }
 
-// Acknowledged takes note that a collector has all of a closed window.
+// Acknowledged records that a collector has all counts of a closed window. It never blocks.
 func (p *Publisher) Acknowledged(collector uint64, window int64) {
 	select {
 	case p.acks <- ack{collector, window}:
-	default: // the next statement is acknowledged again
+	default: // the queue is full; the window is resent and acknowledged again
 	}
 }
 
-// Run publishes until ctx ends, and then closes what is counted.
+// Run publishes counts until ctx ends, then publishes the final ones and returns ctx.Err().
 func (p *Publisher) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
-			p.leave()
+			p.publishFinal()
 			return ctx.Err()
 		case a := <-p.acks:
 			p.acknowledge(a)
 			continue
-		case <-p.clock.After(p.pause()):
+		case <-p.clock.After(p.interval()):
 		}
 		p.publish(0)
 	}
 }
 
-func (p *Publisher) pause() time.Duration {
+func (p *Publisher) interval() time.Duration {
 	if p.unacked {
-		return repeatEvery
+		return resendEvery
 	}
 	return publishEvery
 }
@@ -105,17 +107,17 @@
 	p.acked[a.collector][a.window] = true
 }
 
-// leave states all that was counted once and for all, as this process counts nothing
-// any more, until a collector has it.
-func (p *Publisher) leave() {
+// publishFinal closes all windows, as this process counts nothing any more, and sends them until
+// each one is acknowledged by some collector, at most finalSends times.
+func (p *Publisher) publishFinal() {
 	for range finalSends {
-		p.publish(settle + p.terms.Length())
-		end := p.clock.After(finalSendWait)
+		p.publish(closeDelay + p.windows.Length())
+		timeout := p.clock.After(finalAckTimeout)
 		for waiting := true; waiting; {
 			select {
 			case a := <-p.acks:
 				p.acknowledge(a)
-			case <-end:
+			case <-timeout:
 				waiting = false
 			}
 		}
@@ -125,11 +127,11 @@
 	}
 }
 
-// isAcknowledged reports whether each closed window is known to some collector.
+// isAcknowledged reports whether some collector has acknowledged each closed window.
 func (p *Publisher) isAcknowledged() bool {
 	return !slices.ContainsFunc(p.closed, func(window int64) bool {
-		for _, of := range p.acked {
-			if of[window] {
+		for _, windows := range p.acked {
+			if windows[window] {
 				return false
 			}
 		}
@@ -137,16 +139,16 @@
 	})
 }
 
-// publish closes the windows that ended, seen from so much later, and tells each
-// collector what it does not have.
+// publish closes the windows that will have ended after the duration ahead, and sends each
+// collector the closed windows that it has not acknowledged and the latest changes.
 func (p *Publisher) publish(ahead time.Duration) {
 	now, known := p.now()
 	if !known {
 		return
 	}
-	current := p.terms.Window(now)
-	if p.first == 0 {
-		p.first = current
+	current := p.windows.Window(now)
+	if p.firstWindow == 0 {
+		p.firstWindow = current
 	}
 	p.close(now+ahead, current)
 	changes := []carawayspread.UsageStatement{p.ledger.Changes(current - 1), p.ledger.Changes(current)}
@@ -157,12 +159,12 @@
 		for _, window := range p.closed {
 			if !p.acked[collector.ID][window] {
 				p.unacked = true
-				statements = append(statements, parts(p.ledger.Own(window))...)
+				statements = append(statements, split(p.ledger.Own(window))...)
 			}
 		}
 		for _, c := range changes {
 			if len(c.Counts) > 0 {
-				statements = append(statements, parts(c)...)
+				statements = append(statements, split(c)...)
 			}
 		}
 		if len(statements) > 0 {
@@ -171,36 +173,36 @@
 	}
 }
 
-// close closes the windows that have ended by then, and forgets those whose reports no
-// longer count.
+// close closes the windows that ended at least closeDelay before now, and drops those that can no
+// longer be reported.
 func (p *Publisher) close(now time.Duration, current int64) {
-	for window := max(p.first, current-p.terms.RetainedWindows()); p.terms.End(window)+settle <= now; window++ {
+	for window := max(p.firstWindow, current-p.windows.RetainedWindows()); p.windows.End(window)+closeDelay <= now; window++ {
 		if !slices.Contains(p.closed, window) {
 			p.ledger.Close(window)
 			p.closed = append(p.closed, window)
 		}
 	}
-	old := current - p.terms.RetainedWindows()
+	old := current - p.windows.RetainedWindows()
 	p.closed = slices.DeleteFunc(p.closed, func(window int64) bool { return window < old })
-	for collector, of := range p.acked {
-		for window := range of {
+	for collector, windows := range p.acked {
+		for window := range windows {
 			if window < old {
-				delete(of, window)
+				delete(windows, window)
 			}
 		}
-		if len(of) == 0 {
+		if len(windows) == 0 {
 			delete(p.acked, collector)
 		}
 	}
 }
 
-// parts splits a statement into ones that fit a packet.
-func parts(s carawayspread.UsageStatement) []carawayspread.UsageStatement {
-	statements := make([]carawayspread.UsageStatement, 0, 1+len(s.Counts)/statementLimit)
-	for counts := range slices.Chunk(s.Counts, statementLimit) {
-		part := s
-		part.Counts = counts
-		statements = append(statements, part)
+// split splits a statement into statements that fit into a packet.
+func split(s carawayspread.UsageStatement) []carawayspread.UsageStatement {
+	statements := make([]carawayspread.UsageStatement, 0, 1+len(s.Counts)/maxCountsPerStatement)
+	for counts := range slices.Chunk(s.Counts, maxCountsPerStatement) {
+		chunk := s
+		chunk.Counts = counts
+		statements = append(statements, chunk)
 	}
 	if len(statements) == 0 {
 		statements = append(statements, s)
--- a/internal/controller/usagereporter/reporter.go
+++ b/internal/controller/usagereporter/reporter.go
@@ -1,9 +1,9 @@
-// Package usagereporter hands the usage of workspaces to the platform, from one process
-// at a time.
+// Package usagereporter reports the usage of workspaces to the platform, from one process at a
+// time.
 //
-// Whoever leads decides what is reported of a window and stores it before it is sent for
-// the first time: whoever sends it again, after whatever crash or lost answer, sends the
-// same. The lease is checked right before each call.
+// The leader decides on the report of a window and stores it before sending it for the first
+// time. After a crash or a lost reply, any process that sends it again sends the same counts. The
+// lease is checked right before each call.
 package usagereporter
 
 import (
@@ -26,39 +26,40 @@
 const (
 	tickEvery   = 250 * time.Millisecond
 	callTimeout = 800 * time.Millisecond
-	// margin is what must be left of the lease before a call: its timeout and its way.
-	margin = callTimeout + 400*time.Millisecond
-	// reserve is the time before a report is due that is left for sending it, also by
-	// a successor whose predecessor was killed a moment before.
-	reserve = 2500 * time.Millisecond
-	// partition is where the lease and the reports are kept, together: a transaction
-	// writes a report if the lease has not passed on.
+	// leaseMargin is the remaining validity of the lease that a call requires: its timeout plus
+	// the time until it arrives.
+	leaseMargin = callTimeout + 400*time.Millisecond
+	// sendReserve is the time before the due time of a report that is reserved for sending it,
+	// including by a successor whose predecessor was killed just before.
+	sendReserve = 2500 * time.Millisecond
+	// partition holds the lease and the reports together, so that a transaction can write a
+	// report only if the lease is still held.
 	partition = "usage"
 )
 
-// Fleet says which processes there are.
+// Fleet knows the processes of the fleet.
 type Fleet interface {
-	// Collectors returns the processes that add usage up, without this one, and
-	// whether this is one of them.
+	// Collectors returns the other processes that sum usage, and whether this process is one
+	// too.
 	Collectors() (others []carawayspread.Peer, self bool)
-	// Processes returns the other processes that were heard no longer ago than that.
+	// Processes returns the other processes that were last seen within that duration.
 	Processes(within time.Duration) []uint64
 }
 
-// Backoff draws the wait after a try, counted from 1.
+// Backoff returns the wait after a failed attempt, counted from 1.
 type Backoff interface {
 	Draw(try int) time.Duration
 }
 
-// pending is a window whose report is not taken yet.
-type pending struct {
-	record  *usagerecords.Record // nil until it is decided
-	read    bool                 // the table was read for it since the lease was acquired
-	tries   int
-	nextTry time.Duration // true time
+// pendingReport is a report that the platform has not accepted yet.
+type pendingReport struct {
+	record      *usagerecords.Record // nil until decided
+	tableRead   bool                 // the record was looked up since the lease was acquired
+	attempts    int
+	nextAttempt time.Duration // synchronized time
 }
 
-// Deps is what a Reporter acts on.
+// Deps holds the dependencies of a Reporter.
 type Deps struct {
 	Ledger       *usage.Ledger
 	Fleet        Fleet
@@ -66,52 +67,53 @@
 	Table        carawayspread.Table
 	Uptime       carawayspread.Uptime
 	SyncedTime   func() (time.Duration, bool) // since the start of 1970
-	Workspaces   func() map[string]bool       // names of those in force
-	MaxIsolation time.Duration                // how long a process may count that nobody hears
-	Backoff      Backoff                      // between tries of one report
+	Workspaces   func() map[string]bool       // names of the configured workspaces
+	MaxIsolation time.Duration                // how long a process may serve requests unseen by its peers
+	Backoff      Backoff                      // between attempts to send one report
 	Clock        carawayspread.Clock
 	Log          *decisionlog.Log
 	Metrics      *metrics.Set
 }
 
-// Reporter is one process's side. Run is called once.
+// Reporter reports usage while this process holds the lease. Run must be called only once; Holds
+// is safe for concurrent use.
 type Reporter struct {
-	deps     Deps
-	instance string
-	terms    carawayspread.UsageWindows
-	leads    *leadership.Leadership
-	records  *usagerecords.Records
+	deps       Deps
+	instance   string
+	windows    carawayspread.UsageWindows
+	leadership *leadership.Leadership
+	records    *usagerecords.Records
 
-	// Below is used by Run alone.
-	pending map[int64]*pending
-	done    map[int64]bool // windows that need no report any more
-	// decided is what this process has stored of windows whose reports still count. A
-	// table that comes back from an older copy may have lost it, after it was sent.
+	// The fields below are used by Run only.
+	pending map[int64]*pendingReport
+	done    map[int64]bool // windows that need no further report
+	// decided holds the records that this process has stored, for windows that may still be
+	// reported. A table restored from an older copy may have lost a record that was already sent.
 	decided map[int64]*usagerecords.Record
 }
 
 // New returns a reporter for the instance.
-func New(instance string, terms carawayspread.UsageWindows, d Deps) *Reporter {
+func New(instance string, windows carawayspread.UsageWindows, d Deps) *Reporter {
 	collects := func() bool {
 		_, self := d.Fleet.Collectors()
 		return self
 	}
 	return &Reporter{
-		deps: d, instance: instance, terms: terms, records: usagerecords.New(d.Table, partition),
-		leads:   leadership.New("usageLease", instance, partition, d.Table, collects, d.Uptime, d.Clock, d.Log, d.Metrics),
-		pending: map[int64]*pending{}, done: map[int64]bool{}, decided: map[int64]*usagerecords.Record{},
+		deps: d, instance: instance, windows: windows, records: usagerecords.New(d.Table, partition),
+		leadership: leadership.New("usageLease", instance, partition, d.Table, collects, d.Uptime, d.Clock, d.Log, d.Metrics),
+		pending:    map[int64]*pendingReport{}, done: map[int64]bool{}, decided: map[int64]*usagerecords.Record{},
 	}
 }
 
 // Holds reports whether this process may hold the lease.
-func (r *Reporter) Holds() bool { return r.leads.Holds() }
+func (r *Reporter) Holds() bool { return r.leadership.Holds() }
 
-// Run reports until ctx ends.
+// Run reports usage until ctx ends, then gives up the lease and returns ctx.Err().
 func (r *Reporter) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
-			r.leads.Leave()
+			r.leadership.Leave()
 			return ctx.Err()
 		case <-r.deps.Clock.After(tickEvery*9/10 + rand.N(tickEvery/5)):
 		}
@@ -124,35 +126,35 @@
 	if !known {
 		return
 	}
-	if r.leads.Renew(ctx) {
-		// What others have decided since is read again.
+	if r.leadership.Renew(ctx) {
+		// Other holders may have decided since, so the table is read again.
 		clear(r.done)
 		clear(r.pending)
 	}
 	r.expire(now)
-	current := r.terms.Window(now)
-	for window := current - r.terms.RetainedWindows(); window < current; window++ {
-		if !r.done[window] && now >= r.terms.End(window) && now <= r.terms.Due(window) && r.leads.Valid(margin) {
+	current := r.windows.Window(now)
+	for window := current - r.windows.RetainedWindows(); window < current; window++ {
+		if !r.done[window] && now >= r.windows.End(window) && now <= r.windows.Due(window) && r.leadership.Valid(leaseMargin) {
 			r.report(ctx, window, now)
 		}
 	}
 }
 
-// report decides what is reported of a window, and sends it.
+// report decides on the report of a window and sends it.
 func (r *Reporter) report(ctx context.Context, window int64, now time.Duration) {
 	p := r.pending[window]
 	if p == nil {
-		p = &pending{}
+		p = &pendingReport{}
 		r.pending[window] = p
 	}
-	if now < p.nextTry {
+	if now < p.nextAttempt {
 		return
 	}
 	if p.record == nil {
 		record, err := r.decide(ctx, window, p, now)
 		if err != nil {
 			r.deps.Log.Write(r.line(window).Text("outcome", "undecided").Text("error", err.Error()))
-			r.retry(window, p, now)
+			r.scheduleRetry(window, p, now)
 		}
 		if p.record = record; record == nil {
 			return
@@ -161,14 +163,14 @@
 	r.send(ctx, window, p, now)
 }
 
-// decide returns what is reported of the window: what the table holds, or else what
-// is collected once it is complete or may wait no longer. Nothing is returned while
-// it may wait, and where nobody is known to have counted.
-func (r *Reporter) decide(ctx context.Context, window int64, p *pending, now time.Duration) (*usagerecords.Record, error) {
-	begun := r.terms.End(window) - r.terms.Length()
-	complete := r.deps.Ledger.Complete(window, r.deps.Fleet.Processes(now-begun+r.deps.MaxIsolation))
-	decidable := complete || now >= r.terms.Due(window)-reserve
-	if p.read && !decidable {
+// decide returns the record of the window: the one in the table or, if there is none, a new one
+// as soon as the counts are complete or the report can wait no longer. It returns nil while the
+// report can wait, and if no process is known to have counted.
+func (r *Reporter) decide(ctx context.Context, window int64, p *pendingReport, now time.Duration) (*usagerecords.Record, error) {
+	start := r.windows.End(window) - r.windows.Length()
+	complete := r.deps.Ledger.Complete(window, r.deps.Fleet.Processes(now-start+r.deps.MaxIsolation))
+	decidable := complete || now >= r.windows.Due(window)-sendReserve
+	if p.tableRead && !decidable {
 		return nil, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -177,7 +179,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p.read = true
+	p.tableRead = true
 	switch {
 	case record != nil || !decidable:
 		return record, nil
@@ -195,14 +197,14 @@
 	return record, err
 }
 
-// store has the table hold a record, in the place of the item with that revision.
+// store writes a record to the table in place of the item with that revision.
 func (r *Reporter) store(ctx context.Context, record *usagerecords.Record, rev uint64) (*usagerecords.Record, error) {
-	check, held := r.leads.Check()
+	check, held := r.leadership.Check()
 	if !held {
 		return nil, lease.ErrHeld
 	}
 	if err := r.records.Put(ctx, record, rev, check); err != nil {
-		return nil, err // the next try reads what the table holds
+		return nil, err // the next attempt reads what the table holds
 	}
 	if r.decided[record.Window] != nil {
 		r.deps.Log.Write(r.line(record.Window).Text("outcome", "storedAgain"))
@@ -211,16 +213,16 @@
 	return record, nil
 }
 
-func (r *Reporter) send(ctx context.Context, window int64, p *pending, now time.Duration) {
-	fence := r.leads.Fence()
-	if fence == 0 || !r.leads.Valid(margin) {
+func (r *Reporter) send(ctx context.Context, window int64, p *pendingReport, now time.Duration) {
+	fence := r.leadership.Fence()
+	if fence == 0 || !r.leadership.Valid(leaseMargin) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	err := r.deps.Sink.Report(ctx, fence, carawayspread.UsageReport{Window: window, Counts: p.record.Counts})
 	line := r.line(window).Int("workspaces", int64(len(p.record.Counts))).
-		Ms("sinceEndMs", now-r.terms.End(window)).Text("complete", fmt.Sprint(p.record.Complete))
+		Ms("sinceEndMs", now-r.windows.End(window)).Text("complete", fmt.Sprint(p.record.Complete))
 	switch {
 	case err == nil:
 		r.done[window] = true
@@ -230,24 +232,26 @@
 	case errors.Is(err, carawayspread.ErrFenced):
 		r.count("fenced")
 		r.deps.Log.Write(line.Text("outcome", "fenced"))
-		r.leads.Resign(ctx, "fenced")
+		r.leadership.Resign(ctx, "fenced")
 	default:
-		r.retry(window, p, now)
+		r.scheduleRetry(window, p, now)
 		r.count("unanswered")
 		r.deps.Log.Write(line.Text("outcome", "unanswered").Text("error", err.Error()))
 	}
 }
 
-// retry sets when the window is tried next: the sooner the closer its report is due.
-func (r *Reporter) retry(window int64, p *pending, now time.Duration) {
-	p.tries++
-	p.nextTry = now + min(r.deps.Backoff.Draw(p.tries), (r.terms.Due(window)-now)/2)
+// scheduleRetry sets the time of the next attempt, at the latest halfway between now and the due
+// time of the report.
+func (r *Reporter) scheduleRetry(window int64, p *pendingReport, now time.Duration) {
+	p.attempts++
+	p.nextAttempt = now + min(r.deps.Backoff.Draw(p.attempts), (r.windows.Due(window)-now)/2)
 }
 
-// expire drops windows whose reports no longer count.
+// expire drops windows whose reports are overdue, and the state of windows that are no longer
+// retained.
 func (r *Reporter) expire(now time.Duration) {
 	for window, p := range r.pending {
-		if now <= r.terms.Due(window) {
+		if now <= r.windows.Due(window) {
 			continue
 		}
 		delete(r.pending, window)
@@ -257,24 +261,24 @@
 		}
 		r.count("missed")
 		r.deps.Log.Write(r.line(window).Text("outcome", "missed").
-			Text("decided", fmt.Sprint(p.record != nil)).Int("tries", int64(p.tries)))
+			Text("decided", fmt.Sprint(p.record != nil)).Int("tries", int64(p.attempts)))
 	}
-	old := r.terms.Window(now) - r.terms.RetainedWindows()
+	oldest := r.windows.Window(now) - r.windows.RetainedWindows()
 	for window := range r.done {
-		if window < old {
+		if window < oldest {
 			delete(r.done, window)
 		}
 	}
 	for window := range r.decided {
-		if window < old {
+		if window < oldest {
 			delete(r.decided, window)
 		}
 	}
-	r.deps.Ledger.Forget(old, r.deps.Workspaces())
+	r.deps.Ledger.Forget(oldest, r.deps.Workspaces())
 }
 
 func (r *Reporter) line(window int64) *decisionlog.Line {
-	return r.leads.Line("usage").Int("window", window)
+	return r.leadership.Line("usage").Int("window", window)
 }
 
 func (r *Reporter) count(outcome string) {
--- a/internal/controller/usagereporter/reporter_test.go
+++ b/internal/controller/usagereporter/reporter_test.go
@@ -10,122 +10,124 @@
 	"carawayspread"
 )
 
-// lost is what a window's counts may miss where a process was killed: what it counted
-// since its last statement.
-const lost = 0.05
+// lossPerKill is the fraction of a window's counts that may be lost with a killed process: what it
+// counted since its last statement.
+const lossPerKill = 0.05
 
-// holds says what must hold of the calls whatever happens: a window's counts never
-// change, and holders neither share a number nor take turns quickly.
-func holds(t *testing.T, w *world) {
+// checkInvariants checks what must be true of the calls under all faults: the counts of a window
+// never change, no two holders use the same fencing token, and the lease does not alternate between
+// holders quickly.
+func checkInvariants(t *testing.T, f *testFleet) {
 	counts := map[int64]string{}
 	holders := map[uint64]string{}
 	var calls []call
-	calls = append(calls, w.sink.calls...)
+	calls = append(calls, f.sink.calls...)
 	for i, c := range calls {
 		text := fmt.Sprint(c.report.Counts)
 		if first, known := counts[c.report.Window]; known {
-			qt.Check(t, text, qt.Equals, first, qt.Commentf("window %d changed", c.report.Window))
+			qt.Check(t, text, qt.Equals, first, qt.Commentf("counts of window %d changed", c.report.Window))
 		}
 		counts[c.report.Window] = text
 		if holder, known := holders[c.fence]; known {
-			qt.Check(t, c.holder, qt.Equals, holder, qt.Commentf("number %d has two holders", c.fence))
+			qt.Check(t, c.holder, qt.Equals, holder, qt.Commentf("fencing token %d has two holders", c.fence))
 		}
 		holders[c.fence] = c.holder
 		for j, b := range calls[:i] {
 			for _, a := range calls[:j] {
 				if a.holder == c.holder && b.holder != c.holder && c.at.Sub(a.at) < 3*time.Second {
-					t.Errorf("%s, %s, %s within %v", a.holder, b.holder, c.holder, c.at.Sub(a.at))
+					t.Errorf("holders %s, %s, %s within %v", a.holder, b.holder, c.holder, c.at.Sub(a.at))
 				}
 			}
 		}
 	}
 }
 
-// inTime returns the counts of windows that were reported in time.
-func inTime(w *world) map[int64]map[string]uint64 {
+// reportedInTime returns the counts of the windows whose reports arrived by their due time.
+func reportedInTime(f *testFleet) map[int64]map[string]uint64 {
 	reported := map[int64]map[string]uint64{}
-	for _, c := range w.sink.calls {
-		if time.Duration(c.at.UnixNano()) <= terms.Due(c.report.Window) {
+	for _, c := range f.sink.calls {
+		if time.Duration(c.at.UnixNano()) <= windows.Due(c.report.Window) {
 			reported[c.report.Window] = c.report.Counts
 		}
 	}
 	return reported
 }
 
-// Guards against usage that is missed, counted twice or reported in two versions while
-// its holder, the platform and the table fail.
+// Guards against usage that is missed, counted twice or reported with different counts while the
+// lease holder, the platform or the table fails.
 func TestUsageIsReportedOnce(t *testing.T) {
 	for name, test := range map[string]struct {
-		strike  func(w *world)
-		inexact float64 // part of the fleet's counts of a window that may be lost with those who are killed
-		missed  int     // windows at the most that are due while nobody may hold the lease
+		fault       func(f *testFleet)
+		allowedLoss float64 // fraction of a window's counts that may be lost with killed processes
+		missed      int     // maximum number of windows that fall due while no process can hold the lease
 	}{
-		"nothing": {strike: func(*world) {}},
-		"the holder leaves": {strike: func(w *world) {
-			p := w.holder()
-			p.set(func() { p.idle = true })
-			time.Sleep(100 * time.Millisecond) // its last request has begun
+		"nothing": {fault: func(*testFleet) {}},
+		"the holder shuts down": {fault: func(f *testFleet) {
+			p := f.holder()
+			p.set(func() { p.withoutTraffic = true })
+			time.Sleep(100 * time.Millisecond) // its last request has started
 			p.cancel()
 			time.Sleep(time.Second)
-			p.set(func() { p.dead, p.died = true, time.Now() })
+			p.set(func() { p.stopped, p.stoppedAt = true, time.Now() })
 		}},
-		"the holder is killed": {strike: func(w *world) { w.holder().kill() }, inexact: lost},
-		"the holder and another are killed": {strike: func(w *world) {
-			w.holder().kill()
-			w.alive()[3].kill()
-		}, inexact: 2 * lost},
-		// What the two counted is known to each other alone.
-		"both collectors are killed": {strike: func(w *world) {
-			for _, p := range w.alive()[:2] {
+		"the holder is killed": {fault: func(f *testFleet) { f.holder().kill() }, allowedLoss: lossPerKill},
+		"the holder and another are killed": {fault: func(f *testFleet) {
+			f.holder().kill()
+			f.running()[3].kill()
+		}, allowedLoss: 2 * lossPerKill},
+		// The counts of each collector are known only to the other one.
+		"both collectors are killed": {fault: func(f *testFleet) {
+			for _, p := range f.running()[:2] {
 				p.kill()
 			}
-		}, inexact: 2.0 / 5},
-		"the holder is suspended": {strike: func(w *world) {
-			p := w.holder()
-			p.set(func() { p.asleep = make(chan struct{}) })
+		}, allowedLoss: 2.0 / 5},
+		"the holder is suspended": {fault: func(f *testFleet) {
+			p := f.holder()
+			p.set(func() { p.suspended = make(chan struct{}) })
 			time.Sleep(8 * time.Second)
-			p.set(func() { close(p.asleep); p.asleep = nil })
+			p.set(func() { close(p.suspended); p.suspended = nil })
 		}},
-		"the platform is down": {strike: func(w *world) {
-			w.sink.set(func() { w.sink.down = true })
+		"the platform is down": {fault: func(f *testFleet) {
+			f.sink.set(func() { f.sink.down = true })
 			time.Sleep(7 * time.Second)
-			w.sink.set(func() { w.sink.down = false })
+			f.sink.set(func() { f.sink.down = false })
 		}},
-		"answers of the platform are lost": {strike: func(w *world) {
-			w.sink.set(func() { w.sink.lose = 5 })
+		"replies of the platform are lost": {fault: func(f *testFleet) {
+			f.sink.set(func() { f.sink.loseReplies = 5 })
 		}},
-		"the table is down": {strike: func(w *world) {
-			w.table.set(func() { w.table.down = true })
+		"the table is down": {fault: func(f *testFleet) {
+			f.table.set(func() { f.table.down = true })
 			time.Sleep(7 * time.Second)
-			w.table.set(func() { w.table.down = false })
+			f.table.set(func() { f.table.down = false })
 		}},
-		"answers of the table are lost": {strike: func(w *world) {
-			w.table.set(func() { w.table.lose = 5 })
+		"replies of the table are lost": {fault: func(f *testFleet) {
+			f.table.set(func() { f.table.loseReplies = 5 })
 		}},
-		"the table comes back from an older copy": {strike: func(w *world) {
-			restore := w.table.copied()
+		"the table is restored from an older copy": {fault: func(f *testFleet) {
+			restore := f.table.snapshot()
 			time.Sleep(4 * time.Second)
 			restore()
 		}},
-		// The term is waited out from the second time on: eight of the ten seconds.
-		"the table comes back twice": {strike: func(w *world) {
-			restore := w.table.copied()
+		// From the second restore on, the lease can be acquired only after its term. This takes 8 of
+		// the 10 seconds until a report is due.
+		"the table is restored twice": {fault: func(f *testFleet) {
+			restore := f.table.snapshot()
 			time.Sleep(4 * time.Second)
 			restore()
 			time.Sleep(3 * time.Second)
 			restore()
 		}, missed: 1},
-		"the platform saw a higher number": {strike: func(w *world) {
-			w.sink.set(func() { w.sink.fenced = 5 })
+		"the platform saw a higher fencing token": {fault: func(f *testFleet) {
+			f.sink.set(func() { f.sink.highestFence = 5 })
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, test.strike, func(t *testing.T, w *world) {
-				holds(t, w)
-				reported := inTime(w)
+			runFleet(t, test.fault, func(t *testing.T, f *testFleet) {
+				checkInvariants(t, f)
+				reported := reportedInTime(f)
 				missed := 0
-				for window, truth := range w.truth {
-					if terms.Due(window) > w.until {
+				for window, expected := range f.expected {
+					if windows.Due(window) > f.end {
 						continue
 					}
 					counts, ok := reported[window]
@@ -133,50 +135,50 @@
 						missed++
 						continue
 					}
-					for workspace, n := range truth {
+					for workspace, n := range expected {
 						off := float64(n) - float64(counts[workspace])
-						if test.inexact > 0 {
-							qt.Check(t, off >= 0 && off <= 1+test.inexact*float64(n), qt.IsTrue, qt.Commentf("window %d, %s: %d for %d", window, workspace, counts[workspace], n))
+						if test.allowedLoss > 0 {
+							qt.Check(t, off >= 0 && off <= 1+test.allowedLoss*float64(n), qt.IsTrue, qt.Commentf("window %d, %s: %d for %d", window, workspace, counts[workspace], n))
 							continue
 						}
 						qt.Check(t, off, qt.Equals, 0.0, qt.Commentf("window %d, %s: %d for %d", window, workspace, counts[workspace], n))
 					}
 				}
-				qt.Check(t, missed <= test.missed, qt.IsTrue, qt.Commentf("%d missed", missed))
+				qt.Check(t, missed <= test.missed, qt.IsTrue, qt.Commentf("missed windows: %d", missed))
 			})
 		})
 	}
 }
 
-// Guards against two reports of one window that differ: the holder is killed before it
-// hears that its report was taken, and its successor has learnt of more requests since.
-func TestSuccessorSendsWhatWasDecided(t *testing.T) {
+// Guards against two reports of one window with different counts. The holder is killed before it
+// learns that its report was accepted, and its successor has received further counts since.
+func TestSuccessorSendsStoredReport(t *testing.T) {
 	var window int64
-	strike := func(w *world) {
-		w.sink.mu.Lock()
-		w.sink.lose = 1000
-		sent := len(w.sink.calls)
-		w.sink.mu.Unlock()
+	fault := func(f *testFleet) {
+		f.sink.mu.Lock()
+		f.sink.loseReplies = 1000
+		sent := len(f.sink.calls)
+		f.sink.mu.Unlock()
 		for window == 0 {
 			time.Sleep(50 * time.Millisecond)
-			w.sink.mu.Lock()
-			if len(w.sink.calls) > sent {
-				window = w.sink.calls[sent].report.Window
+			f.sink.mu.Lock()
+			if len(f.sink.calls) > sent {
+				window = f.sink.calls[sent].report.Window
 			}
-			w.sink.mu.Unlock()
+			f.sink.mu.Unlock()
 		}
-		w.holder().kill()
-		for _, p := range w.alive() {
+		f.holder().kill()
+		for _, p := range f.running() {
 			p.ledger.Merge(carawayspread.UsageStatement{
 				Process: 99, Window: window, Closed: true, Total: 7,
 				Counts: []carawayspread.UsageCount{{Workspace: carawayspread.IDOfWorkspace("a"), Requests: 7}},
 			})
 		}
 	}
-	play(t, strike, func(t *testing.T, w *world) {
-		holds(t, w)
+	runFleet(t, fault, func(t *testing.T, f *testFleet) {
+		checkInvariants(t, f)
 		holders := map[string]bool{}
-		for _, c := range w.sink.calls {
+		for _, c := range f.sink.calls {
 			if c.report.Window == window {
 				holders[c.holder] = true
 			}
@@ -185,58 +187,58 @@
 	})
 }
 
-// Guards against two reports of one window that differ: the table comes back from a copy
-// without what was decided of it, and more requests have been learnt of since.
-func TestDecidedReportOutlivesARestore(t *testing.T) {
-	strike := func(w *world) {
-		restore := w.table.copied()
-		w.sink.mu.Lock()
-		w.sink.lose = 1000
-		sent := len(w.sink.calls)
-		w.sink.mu.Unlock()
+// Guards against two reports of one window with different counts. The table is restored from a copy
+// without the record of the window, and further counts have been received since.
+func TestDecidedReportSurvivesTableRestore(t *testing.T) {
+	fault := func(f *testFleet) {
+		restore := f.table.snapshot()
+		f.sink.mu.Lock()
+		f.sink.loseReplies = 1000
+		sent := len(f.sink.calls)
+		f.sink.mu.Unlock()
 		var window int64
 		for window == 0 {
 			time.Sleep(50 * time.Millisecond)
-			w.sink.mu.Lock()
-			if len(w.sink.calls) > sent {
-				window = w.sink.calls[sent].report.Window
+			f.sink.mu.Lock()
+			if len(f.sink.calls) > sent {
+				window = f.sink.calls[sent].report.Window
 			}
-			w.sink.mu.Unlock()
+			f.sink.mu.Unlock()
 		}
 		restore()
-		for _, p := range w.alive() {
+		for _, p := range f.running() {
 			p.ledger.Merge(carawayspread.UsageStatement{
 				Process: 99, Window: window, Closed: true, Total: 7,
 				Counts: []carawayspread.UsageCount{{Workspace: carawayspread.IDOfWorkspace("a"), Requests: 7}},
 			})
 		}
 	}
-	play(t, strike, func(t *testing.T, w *world) {
-		holds(t, w)
-		qt.Check(t, len(w.sink.calls) > 3, qt.IsTrue)
+	runFleet(t, fault, func(t *testing.T, f *testFleet) {
+		checkInvariants(t, f)
+		qt.Check(t, len(f.sink.calls) > 3, qt.IsTrue)
 	})
 }
 
-// longWaits draws waits that outlast any report.
-type longWaits struct{}
+// longBackoff returns waits that exceed the due time of any report.
+type longBackoff struct{}
 
-func (longWaits) Draw(int) time.Duration { return time.Hour }
+func (longBackoff) Draw(int) time.Duration { return time.Hour }
 
-// Guards against a report that is missed since its next try would come when it is no
-// longer due: the platform is back a second before that.
-func TestReportIsTriedUntilItIsDue(t *testing.T) {
-	strike := func(w *world) {
-		w.sink.set(func() { w.sink.down = true })
+// Guards against a missed report when its next attempt would come only after the due time. The
+// platform recovers a second before that.
+func TestReportIsRetriedUntilDue(t *testing.T) {
+	fault := func(f *testFleet) {
+		f.sink.set(func() { f.sink.down = true })
 		time.Sleep(7 * time.Second)
-		w.sink.set(func() { w.sink.down = false })
+		f.sink.set(func() { f.sink.down = false })
 	}
-	play(t, strike, func(t *testing.T, w *world) {
-		holds(t, w)
-		reported := inTime(w)
-		for window := range w.truth {
-			if terms.Due(window) <= w.until {
+	runFleet(t, fault, func(t *testing.T, f *testFleet) {
+		checkInvariants(t, f)
+		reported := reportedInTime(f)
+		for window := range f.expected {
+			if windows.Due(window) <= f.end {
 				qt.Check(t, reported[window], qt.IsNotNil, qt.Commentf("window %d", window))
 			}
 		}
-	}, func(w *world) { w.backoff = longWaits{} })
+	}, func(f *testFleet) { f.backoff = longBackoff{} })
 }
