--- a/cmd/gateway/configuration_test.go
+++ b/cmd/gateway/configuration_test.go
@@ -100,7 +100,7 @@
 	link    *relay.Relay
 }
 
-func (p *peer) Lost() bool { return false }
+func (p *peer) Stale() bool { return false }
 
 func newPeer(t *testing.T, store string) *peer {
 	t.Helper()
@@ -135,7 +135,7 @@
 	t.Helper()
 	begun := time.Now()
 	for p.sink.holds() != want {
-		_ = p.learner.Ask(context.Background(), other.link.Address(), carawayspread.ResourceRoutes)
+		_ = p.learner.Pull(context.Background(), other.link.Address(), carawayspread.ResourceRoutes)
 		if p.sink.holds() != want {
 			qt.Assert(t, time.Since(begun) < within, qt.IsTrue, qt.Commentf("not in force after %v, %d bytes", time.Since(begun), other.link.Answered()))
 		}
@@ -214,7 +214,7 @@
 	says := carawayspread.PeerStatus{Zone: "z", Capacity: 2, CanReadStore: true}
 	for of := range carawayspread.ResourceCount {
 		qt.Assert(t, from.Read(t.Context(), of), qt.IsNil)
-		says.Resources[of] = from.Have(of)
+		says.Resources[of] = from.Status(of)
 	}
 	for begun := time.Now(); to.sink.listed() == 0; time.Sleep(50 * time.Millisecond) {
 		f.ObservePeer(1, from.link.Address(), says)
