--- a/internal/daemon/base/base.go
+++ b/internal/daemon/base/base.go
@@ -1,5 +1,5 @@
-// Package base is what every daemon holds: the clients of the platform's
-// services, the instance list and the configuration.
+// Package base contains what all daemons share: the clients of the platform's services, the
+// instance list and the configuration.
 package base
 
 import (
@@ -32,10 +32,10 @@
 	changes  *changelog.Log
 	config   *confsync.Syncer
 	watch    *watch.Watch
-	adopted  func(*carawayspread.Config) // called with every configuration; set before Run
+	adopted  func(*carawayspread.Config) // called with each adopted configuration; set before Run
 }
 
-// New returns the base of the daemon with those settings.
+// New returns the base of a daemon with the settings.
 func New(s *settings.Settings, clock carawayspread.Clock, l log.Interface) *Base {
 	b := &Base{
 		settings: s,
@@ -61,33 +61,33 @@
 	return b
 }
 
-// OnAdopted sets what is called with every configuration that comes into
-// force. It must be set before Run.
+// OnAdopted sets the function that is called with each configuration when it takes effect. It must
+// be called before the daemon runs.
 func (b *Base) OnAdopted(adopted func(*carawayspread.Config)) { b.adopted = adopted }
 
-// peers returns the control addresses to ask for the configuration, those of
-// the own availability zone and then of the own region first. Where no list
-// was read since the start, the settings name the first ones.
+// peers returns the control addresses from which to request the configuration: first those in the
+// same availability zone, then those in the same region, then all others. The peers of the settings
+// come last; until an instance list was read, they are the only ones.
 func (b *Base) peers() []string {
-	near, region, far := []string{}, []string{}, []string{}
+	sameZone, sameRegion, otherRegions := []string{}, []string{}, []string{}
 	for _, instance := range b.watch.Instances() {
 		if _, err := netip.ParseAddrPort(instance.Control); err != nil || instance.ID == b.settings.ID() {
 			continue
 		}
 		switch {
 		case instance.Zone == b.settings.Zone():
-			near = append(near, instance.Control)
+			sameZone = append(sameZone, instance.Control)
 		case instance.Region == b.settings.Region():
-			region = append(region, instance.Control)
+			sameRegion = append(sameRegion, instance.Control)
 		default:
-			far = append(far, instance.Control)
+			otherRegions = append(otherRegions, instance.Control)
 		}
 	}
-	all := append(append(near, region...), far...)
+	all := append(append(sameZone, sameRegion...), otherRegions...)
 	return append(all, b.settings.Peers()...)
 }
 
-// Listen opens an address of the daemon with the limits of its settings.
+// Listen returns a server on the address, with the limits of the settings.
 func (b *Base) Listen(address string, handler http.Handler) (*server.Server, error) {
 	t := b.settings.Timeouts()
 	return server.Listen(address, handler,
@@ -101,13 +101,13 @@
 // Clock returns the clock of the daemon.
 func (b *Base) Clock() carawayspread.Clock { return b.clock }
 
-// Log returns where events are logged, with the name of the instance.
+// Log returns the log of the daemon. Its lines carry the identifier of the instance.
 func (b *Base) Log() log.Interface { return b.log }
 
 // Metrics returns the metrics of the platform's clients.
 func (b *Base) Metrics() *metrics.Set { return b.set }
 
-// Table returns the platform's table service with its safeguards.
+// Table returns the client of the platform's table service with all its decorators.
 func (b *Base) Table() carawayspread.Table { return b.table }
 
 // Objects returns the platform's object store.
@@ -116,8 +116,8 @@
 // Changes returns the log of configuration changes.
 func (b *Base) Changes() *changelog.Log { return b.changes }
 
-// Config returns what keeps the configuration current.
+// Config returns the syncer that keeps the configuration up to date.
 func (b *Base) Config() *confsync.Syncer { return b.config }
 
-// Instances returns the newest known instance list; not to be modified.
+// Instances returns the newest known instance list. It must not be modified.
 func (b *Base) Instances() []carawayspread.Instance { return b.watch.Instances() }
--- a/internal/daemon/base/credentials.go
+++ b/internal/daemon/base/credentials.go
@@ -2,22 +2,22 @@
 
 import "os"
 
-// Variables that hold the credentials for the platform's services, by the names
-// that its own tools use. They are kept out of the settings file, which is
-// shown to operators and kept with the deployment.
+// Environment variables with the credentials for the platform's services. The names are those that
+// the platform's own tools use. Credentials are not part of the settings file, because it is shown to
+// operators and stored with the deployment.
 const (
 	variableID     = "AWS_ACCESS_KEY_ID"
 	variableSecret = "AWS_SECRET_ACCESS_KEY"
-	// noCredentials signs requests to a platform that checks none, such as the
-	// stand-ins.
+	// noCredentials is used if a variable is not set, for platforms that check no credentials,
+	// such as the stand-ins.
 	noCredentials = "none"
 )
 
 func credentials() (id, secret string) {
-	return variable(variableID), variable(variableSecret)
+	return envOrDefault(variableID), envOrDefault(variableSecret)
 }
 
-func variable(name string) string {
+func envOrDefault(name string) string {
 	if value := os.Getenv(name); value != "" {
 		return value
 	}
--- a/internal/daemon/base/group.go
+++ b/internal/daemon/base/group.go
@@ -11,38 +11,39 @@
 )
 
 const (
-	// endTime is the last part of the grace, in which the daemon ends by itself, and
-	// answerTime the part before it, in which requests are answered that outlast the rest.
-	endTime    = time.Second
-	answerTime = 500 * time.Millisecond
-	// serverEnd is the time of a server for requests that run as the daemon ends by
-	// itself: three servers, one after the other, each twice as long at the most.
-	serverEnd = 150 * time.Millisecond
+	// shutdownReserve is the last part of the grace period, in which the servers shut down and the
+	// process exits. abortReserve is the part before it, in which the requests that are still
+	// running are aborted and answered.
+	shutdownReserve = time.Second
+	abortReserve    = 500 * time.Millisecond
+	// serverShutdownTime is passed to ShutdownWithin. At most three servers shut down one after the
+	// other, each in at most twice this time, which fits into shutdownReserve.
+	serverShutdownTime = 150 * time.Millisecond
 )
 
-// Group is the run group of a daemon. Its actors go on when the daemon is told
-// to end, until the actor that waits for the last request has returned.
+// Group is the run group of a daemon. When the daemon is told to shut down, the actors keep running
+// until the one that waits for the last request has returned.
 type Group struct {
 	run.Group
-	work context.Context
+	ctx  context.Context
 	stop context.CancelFunc
 }
 
-// Group returns a run group with the servers, the instance list and the
-// configuration. changed is called with every changed list.
+// Group returns a run group with the servers and with the actors that keep the instance list and the
+// configuration up to date. changed is called with each changed instance list.
 func (b *Base) Group(ctx context.Context, changed func([]carawayspread.Instance), servers ...*server.Server) *Group {
 	g := &Group{}
-	g.work, g.stop = context.WithCancel(context.WithoutCancel(ctx))
+	g.ctx, g.stop = context.WithCancel(context.WithoutCancel(ctx))
 	for _, s := range servers {
 		g.addServer(s)
 	}
-	g.Go(func(work context.Context) error { return b.watch.Run(work, changed) })
+	g.Go(func(runCtx context.Context) error { return b.watch.Run(runCtx, changed) })
 	g.Go(b.config.Run)
 	return g
 }
 
-// addServer adds an actor that ends when its server has, not when that takes no more
-// connections: the end of one actor ends all others.
+// addServer adds an actor that returns only after its server has shut down completely, not when the
+// server stops accepting connections. The first actor that returns interrupts all others.
 func (g *Group) addServer(s *server.Server) {
 	ended := make(chan struct{})
 	g.Add(func() error {
@@ -52,18 +53,18 @@
 		<-ended
 		return nil
 	}, func(error) {
-		s.ShutdownWithin(serverEnd)
+		s.ShutdownWithin(serverShutdownTime)
 		close(ended)
 	})
 }
 
-// Go adds an actor that ends with its context.
-func (g *Group) Go(actor func(work context.Context) error) {
-	g.Add(func() error { return actor(g.work) }, func(error) { g.stop() })
+// Go adds an actor that returns when its context ends.
+func (g *Group) Go(actor func(runCtx context.Context) error) {
+	g.Add(func() error { return actor(g.ctx) }, func(error) { g.stop() })
 }
 
-// Wait runs the group. It returns nil when the daemon was told to end, which
-// is when ctx has ended.
+// Wait runs the group until all actors have returned. It returns nil if ctx has ended, which means
+// that the daemon was told to shut down, and otherwise the error of the first actor.
 func (g *Group) Wait(ctx context.Context) error {
 	defer g.stop()
 	err := g.Run()
@@ -73,22 +74,23 @@
 	return err
 }
 
-// Finish returns when wait does, which waits for the last request of the server or for
-// the end of its context.
+// FinishRequests calls wait, which returns when the last request of the server has finished or its
+// context has ended, and returns its error.
 //
-// An endpoint may hold a request for longer than the platform waits before it kills the
-// daemon, and its caller could not tell whether it ran. What outlasts the grace is
-// answered without its endpoint.
-func (b *Base) Finish(work context.Context, s *server.Server, wait func(context.Context) error) error {
-	used, cancel := context.WithTimeout(work, b.settings.Timeouts().Grace()-answerTime-endTime)
+// An endpoint may take longer for a request than the grace period after which the platform kills the
+// daemon, and the caller could not know whether the request ran. Shortly before the grace period ends,
+// FinishRequests therefore aborts the requests that are still running, so that they are answered
+// without their endpoints, and waits again.
+func (b *Base) FinishRequests(runCtx context.Context, s *server.Server, wait func(context.Context) error) error {
+	graceful, cancel := context.WithTimeout(runCtx, b.settings.Timeouts().Grace()-abortReserve-shutdownReserve)
 	defer cancel()
-	err := wait(used)
-	if err == nil || work.Err() != nil {
+	err := wait(graceful)
+	if err == nil || runCtx.Err() != nil {
 		return err
 	}
-	b.log.WithError(err).Warn("the grace ends before the last answer")
+	b.log.WithError(err).Warn("grace period is nearly over; aborting the requests still running")
 	s.Abort(carawayspread.ErrShutdown)
-	last, cancel := context.WithTimeout(work, answerTime)
+	aborted, cancel := context.WithTimeout(runCtx, abortReserve)
 	defer cancel()
-	return wait(last)
+	return wait(aborted)
 }
--- a/internal/daemon/dev/dev.go
+++ b/internal/daemon/dev/dev.go
@@ -1,6 +1,6 @@
-// Package dev runs a whole small fleet on loopback in one process: an entry,
-// a sidecar in each availability zone, and stand-ins for the platform and the
-// endpoints. It is meant for a first look and for tests, never for service.
+// Package dev runs a complete small fleet in one process on the loopback interface: an entry, a sidecar
+// in each availability zone, and stand-ins for the platform and the endpoints. It is meant for trying
+// out and for tests, not for production.
 package dev
 
 import (
@@ -32,19 +32,19 @@
 var sidecarTemplate string
 
 //go:embed config.jsonc
-var firstConfig []byte
+var initialConfig []byte
 
-// zones are the availability zones of the small fleet.
+// zones are the availability zones of the fleet.
 var zones = []string{"zone-a", "zone-b", "zone-c"}
 
-// Options are the addresses that callers and operators use.
+// Options holds the addresses for callers and operators.
 type Options struct {
-	Listen      string // IP number and port for callers
-	AdminListen string // IP number and port of the administration API
+	Listen      string // IP address and port for callers
+	AdminListen string // IP address and port of the administration API
 	Out         io.Writer
 }
 
-// Fleet is the running small fleet.
+// Fleet is a small fleet in this process.
 type Fleet struct {
 	clock    carawayspread.Clock
 	platform *platform
@@ -53,7 +53,8 @@
 	sidecars []*sidecard.Daemon
 }
 
-type place struct {
+// templateData is the input of the settings templates.
+type templateData struct {
 	Options
 	Platform  *platform
 	Zone      string
@@ -64,7 +65,7 @@
 	ID, Service, Kind, Address string
 }
 
-// New opens all addresses of the fleet.
+// New returns a fleet and starts to listen on all its addresses.
 func New(opts Options, clock carawayspread.Clock, l log.Interface) (*Fleet, error) {
 	p, err := newPlatform(clock)
 	if err != nil {
@@ -76,7 +77,7 @@
 			return nil, trace.Wrap(err)
 		}
 	}
-	s, err := render("entry", entryTemplate, place{Options: opts, Platform: p, Zone: zones[0]})
+	s, err := render("entry", entryTemplate, templateData{Options: opts, Platform: p, Zone: zones[0]})
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -94,7 +95,7 @@
 	if err != nil {
 		return err
 	}
-	s, err := render("sidecar", sidecarTemplate, place{Platform: f.platform, Zone: zone, Endpoints: endpoints})
+	s, err := render("sidecar", sidecarTemplate, templateData{Platform: f.platform, Zone: zone, Endpoints: endpoints})
 	if err != nil {
 		return err
 	}
@@ -107,7 +108,7 @@
 	return nil
 }
 
-func render(name, text string, data place) (*settings.Settings, error) {
+func render(name, text string, data templateData) (*settings.Settings, error) {
 	t, err := template.New(name).Parse(text)
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -119,10 +120,10 @@
 	return settings.Parse(name, body.Bytes())
 }
 
-// configure has the first configuration accepted and returns when ctx ends.
+// configure stores the initial configuration and returns when ctx ends.
 func (f *Fleet) configure(ctx context.Context) error {
-	first := change.Parse("config.jsonc", firstConfig)
-	_, _, err := f.base.Changes().Append(ctx, changelog.Proposal{Change: first, Actor: "dev", Held: f.base.Config().Held()})
+	initial := change.Parse("config.jsonc", initialConfig)
+	_, _, err := f.base.Changes().Append(ctx, changelog.Proposal{Change: initial, Actor: "dev", Held: f.base.Config().Held()})
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -137,7 +138,8 @@
 // AdminAddress returns the IP address and port of the administration API.
 func (f *Fleet) AdminAddress() string { return f.entry.AdminAddress() }
 
-// Ready returns when the entry knows every endpoint of the fleet.
+// Ready waits until the entry routes to all endpoints of the fleet. It returns an error if ctx ends
+// before.
 func (f *Fleet) Ready(ctx context.Context) error {
 	for f.entry.RoutedEndpoints() < len(zones)*(enginesPerZone+1) {
 		select {
@@ -151,7 +153,7 @@
 
 const readyPoll = 5 * time.Millisecond
 
-// announce prints the addresses once a request would be served.
+// announce prints the addresses when the fleet is ready, and returns when ctx ends.
 func (f *Fleet) announce(ctx context.Context, out io.Writer) error {
 	if f.Ready(ctx) == nil {
 		_, _ = fmt.Fprintf(out, "callers:        http://%s\nadministration: http://%s\n", f.CallerAddress(), f.AdminAddress())
@@ -160,17 +162,17 @@
 	return nil
 }
 
-// Run serves until ctx ends and every request has its answer.
+// Run serves until ctx ends and all requests are answered. The addresses are printed to out.
 func (f *Fleet) Run(ctx context.Context, out io.Writer) error {
-	below, stop := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var group run.Group
 	group.Add(func() error { return f.entry.Run(ctx) }, func(error) {})
 	for _, d := range f.sidecars {
-		group.Add(func() error { return d.Run(below) }, func(error) { stop() })
+		group.Add(func() error { return d.Run(runCtx) }, func(error) { stop() })
 	}
-	group.Add(func() error { return f.platform.run(below) }, func(error) { stop() })
-	group.Add(func() error { return f.configure(below) }, func(error) { stop() })
-	group.Add(func() error { return f.announce(below, out) }, func(error) { stop() })
+	group.Add(func() error { return f.platform.run(runCtx) }, func(error) { stop() })
+	group.Add(func() error { return f.configure(runCtx) }, func(error) { stop() })
+	group.Add(func() error { return f.announce(runCtx, out) }, func(error) { stop() })
 	return trace.Wrap(group.Run())
 }
--- a/internal/daemon/dev/dev_test.go
+++ b/internal/daemon/dev/dev_test.go
@@ -16,11 +16,11 @@
 	"carawayspread"
 )
 
-// start runs a small fleet and returns the base URL for callers.
+// start runs a fleet and returns the base URL for callers.
 func start(t *testing.T) string {
 	t.Helper()
-	quiet := &log.Logger{Handler: discard.New(), Level: log.FatalLevel}
-	fleet, err := New(Options{Listen: "127.0.0.1:0", AdminListen: "127.0.0.1:0"}, carawayspread.SystemClock(), quiet)
+	logger := &log.Logger{Handler: discard.New(), Level: log.FatalLevel}
+	fleet, err := New(Options{Listen: "127.0.0.1:0", AdminListen: "127.0.0.1:0"}, carawayspread.SystemClock(), logger)
 	qt.Assert(t, err, qt.IsNil)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -46,8 +46,8 @@
 	}
 }
 
-// An unmodified client library completes, streams, lists models and receives
-// typed errors.
+// Guards against answers that an unmodified OpenAI client library cannot use: completions, streams, the
+// list of models and typed errors.
 func TestClientLibrary(t *testing.T) {
 	base := start(t)
 	c := client(base)
@@ -78,7 +78,8 @@
 	qt.Check(t, failure.StatusCode, qt.Equals, http.StatusNotFound)
 }
 
-// Each bad request gets its typed error, and the fleet serves the next one.
+// Guards against a bad request that gets the wrong error, is reported as having run, or makes the fleet
+// fail the next request.
 func TestBadRequests(t *testing.T) {
 	base := start(t)
 	good := `{"model":"stand-in","prompt":"x","max_tokens":1}`
--- a/internal/daemon/dev/platform.go
+++ b/internal/daemon/dev/platform.go
@@ -21,7 +21,7 @@
 const (
 	enginesPerZone = 2
 	tokenEvery     = 5 * time.Millisecond
-	prefillRate    = 20_000 // tokens a second
+	prefillRate    = 20_000 // tokens per second
 	plainDelay     = 2 * time.Millisecond
 	engineRestart  = 2 * time.Second
 	roleChange     = 3 * time.Second
@@ -30,7 +30,7 @@
 	weightBytes    = 1 << 20
 )
 
-// platform is the stand-ins of one fleet with their addresses.
+// platform is the set of stand-ins of a fleet with their addresses.
 type platform struct {
 	Table, Objects, InstanceList, Weights string
 
@@ -40,7 +40,7 @@
 
 func newPlatform(clock carawayspread.Clock) (*platform, error) {
 	p := &platform{list: instances.New(clock, 0)}
-	for _, part := range []struct {
+	for _, standin := range []struct {
 		address *string
 		handler http.Handler
 	}{
@@ -49,11 +49,11 @@
 		{&p.InstanceList, p.list},
 		{&p.Weights, weights.New(clock, weightEvery, weightBurst, weightBytes)},
 	} {
-		address, err := p.serve(part.handler)
+		address, err := p.serve(standin.handler)
 		if err != nil {
 			return nil, err
 		}
-		*part.address = address
+		*standin.address = address
 	}
 	return p, nil
 }
@@ -67,7 +67,7 @@
 	return s.Address(), nil
 }
 
-// addEndpoints starts the endpoints of one availability zone.
+// addEndpoints starts to listen for the endpoints of one availability zone.
 func (p *platform) addEndpoints(zone string) ([]endpointRow, error) {
 	rows := []endpointRow{}
 	for i := range enginesPerZone {
--- a/internal/daemon/dev/early_test.go
+++ b/internal/daemon/dev/startup_test.go
@@ -14,18 +14,18 @@
 	"carawayspread"
 )
 
-// A caller that comes before the entry holds a configuration is told to come
-// back; it is not told that there are no models. Right after the start nothing
-// has been accepted yet. The addresses are printed when a request is served.
-func TestEarlyCallerIsToldToComeBack(t *testing.T) {
-	quiet := &log.Logger{Handler: discard.New(), Level: log.FatalLevel}
-	fleet, err := New(Options{Listen: "127.0.0.1:0", AdminListen: "127.0.0.1:0"}, carawayspread.SystemClock(), quiet)
+// Guards against an empty list of models for a caller that arrives before the entry has a configuration,
+// right after the start. The caller must get a refusal that allows a retry. Also guards against
+// addresses that are printed before requests are served.
+func TestRequestDuringStartupIsRetryable(t *testing.T) {
+	logger := &log.Logger{Handler: discard.New(), Level: log.FatalLevel}
+	fleet, err := New(Options{Listen: "127.0.0.1:0", AdminListen: "127.0.0.1:0"}, carawayspread.SystemClock(), logger)
 	qt.Assert(t, err, qt.IsNil)
 	ctx, cancel := context.WithCancel(context.Background())
-	printed := make(announcement, 1)
+	printed := make(firstWrite, 1)
 	ended := make(chan error, 1)
 	answers := make(chan [2]any, 1)
-	go func() { // asks before anything runs: the listener is open, nobody accepts yet
+	go func() { // sent before the fleet runs: the address is open, but no connection is accepted yet
 		resp, err := http.Get("http://" + fleet.CallerAddress() + "/v1/models")
 		if err != nil {
 			answers <- [2]any{0, err.Error()}
@@ -36,14 +36,14 @@
 		answers <- [2]any{resp.StatusCode, string(body) + resp.Header.Get("Retry-After")}
 	}()
 	go func() { ended <- fleet.Run(ctx, printed) }()
-	first := <-answers
-	switch first[0] {
+	answer := <-answers
+	switch answer[0] {
 	case http.StatusServiceUnavailable:
-		qt.Check(t, first[1], qt.Contains, `"notRun":true`)
+		qt.Check(t, answer[1], qt.Contains, `"notRun":true`)
 	case http.StatusOK:
-		qt.Check(t, first[1], qt.Contains, "stand-in", qt.Commentf("an empty list is no answer"))
+		qt.Check(t, answer[1], qt.Contains, "stand-in", qt.Commentf("the list must not be empty"))
 	default:
-		t.Errorf("%v %v", first[0], first[1])
+		t.Errorf("%v %v", answer[0], answer[1])
 	}
 	qt.Check(t, <-printed, qt.Contains, fleet.CallerAddress())
 	req, _ := http.NewRequest(http.MethodPost, "http://"+fleet.CallerAddress()+"/v1/completions", strings.NewReader(`{"model":"stand-in","prompt":"x"}`))
@@ -52,15 +52,15 @@
 	resp, err := http.DefaultClient.Do(req)
 	qt.Assert(t, err, qt.IsNil)
 	_ = resp.Body.Close()
-	qt.Check(t, resp.StatusCode, qt.Equals, http.StatusOK, qt.Commentf("printed means served"))
+	qt.Check(t, resp.StatusCode, qt.Equals, http.StatusOK, qt.Commentf("requests must be served once the addresses are printed"))
 	cancel()
 	qt.Check(t, <-ended, qt.IsNil)
 }
 
-// announcement takes the first thing that is printed.
-type announcement chan string
+// firstWrite is a writer that keeps only the first write.
+type firstWrite chan string
 
-func (a announcement) Write(p []byte) (int, error) {
+func (a firstWrite) Write(p []byte) (int, error) {
 	select {
 	case a <- string(p):
 	default:
--- a/internal/daemon/entryd/control.go
+++ b/internal/daemon/entryd/control.go
@@ -9,12 +9,12 @@
 
 var _ control.Control = (*Daemon)(nil)
 
-// Changes answers a daemon that asks for configuration changes.
+// Changes returns the configuration changes that another daemon requests.
 func (d *Daemon) Changes(ctx context.Context, req *control.ChangesRequest) (*control.ChangesResponse, error) {
 	return d.base.Config().Changes(ctx, req)
 }
 
-// Status tells what the entry holds and does.
+// Status returns the state of the entry, and records the configuration version of the request.
 func (d *Daemon) Status(_ context.Context, req *control.StatusRequest) (*control.StatusResponse, error) {
 	d.base.Config().ObserveVersion(carawayspread.Version(req.GetConfigVersion()))
 	age, _ := d.base.Config().Staleness()
@@ -27,7 +27,7 @@
 	}, nil
 }
 
-// Drain makes the entry refuse new requests.
+// Drain makes the entry refuse new requests. It does not wait for the running ones.
 func (d *Daemon) Drain(_ context.Context, req *control.DrainRequest) (*control.DrainResponse, error) {
 	d.entry.Drain()
 	d.base.Log().WithField("actor", req.GetActor()).Info("drain ordered")
--- a/internal/daemon/entryd/daemon.go
+++ b/internal/daemon/entryd/daemon.go
@@ -1,5 +1,5 @@
-// Package entryd composes the daemon that takes callers' requests: data path,
-// administration, control service, and what it knows of the fleet.
+// Package entryd assembles the entry daemon, which accepts callers' requests: data path,
+// administration API, control service and the state of the fleet.
 package entryd
 
 import (
@@ -27,32 +27,32 @@
 	"carawayspread/internal/process/watch"
 )
 
-// Daemon is one entry process.
+// Daemon is an entry process.
 type Daemon struct {
-	base    *base.Base
-	entry   *entry.Entry
-	data    *server.Server
-	admin   *server.Server
-	control *server.Server
-	reports *report.Socket
-	ledger  *ledger.Ledger
-	changed chan struct{} // holds one word that the configuration changed
-	known   atomic.Pointer[directory]
-	loads   *loads.Completer // used by reported alone
-	routed  atomic.Int64     // endpoints that the entry was given
-	mu      sync.Mutex       // serialises updates of the entry's endpoints
+	base          *base.Base
+	entry         *entry.Entry
+	data          *server.Server
+	admin         *server.Server
+	control       *server.Server
+	reports       *report.Socket
+	ledger        *ledger.Ledger
+	configChanged chan struct{} // signals planRoles; capacity 1
+	directory     atomic.Pointer[directory]
+	loads         *loads.Completer // used by handleReport only
+	routed        atomic.Int64     // number of endpoints that the entry routes to
+	mu            sync.Mutex       // serializes updates of the entry's endpoints
 }
 
-// directory resolves the endpoints that reports name by their hash; immutable.
+// directory maps the endpoint hashes in reports to endpoints. It is immutable.
 type directory struct {
 	instances []carawayspread.Instance
-	byHash    map[string]map[uint32]carawayspread.InstanceEndpoint // by instance
+	byHash    map[string]map[uint32]carawayspread.InstanceEndpoint // by instance identifier
 }
 
-// New opens the daemon's addresses.
+// New returns a daemon and starts to listen on its addresses.
 func New(b *base.Base, opts ...entry.Option) (*Daemon, error) {
-	d := &Daemon{base: b, loads: loads.New(), changed: make(chan struct{}, 1)}
-	d.known.Store(&directory{})
+	d := &Daemon{base: b, loads: loads.New(), configChanged: make(chan struct{}, 1)}
+	d.directory.Store(&directory{})
 	s := b.Settings()
 	d.ledger = ledger.New(b.Table(), b.Objects(), b.Clock(), ledger.WithInstances(s.ID(), d.isListed))
 	opts = append([]entry.Option{
@@ -60,12 +60,13 @@
 		entry.WithBodyLimit(s.Limits().BodyBytes()), entry.WithStall(s.Timeouts().BetweenBytes()),
 		entry.WithTrials(trial.New(b.Table(), b.Clock(), s.ID()+"/"+uuid.NewString())),
 	}, opts...)
-	d.entry = entry.New(b.Config(), decisions(s.Zone(), b.Clock()), opts...)
-	b.OnAdopted(func(*carawayspread.Config) { d.adopted() })
+	d.entry = entry.New(b.Config(), moduleFactory(s.Zone(), b.Clock()), opts...)
+	b.OnAdopted(func(*carawayspread.Config) { d.configAdopted() })
 	return d, trace.Wrap(d.listen())
 }
 
-// isListed reports whether the instance is in the list; true while none is known.
+// isListed reports whether the instance is in the instance list. It returns true while no list is
+// known.
 func (d *Daemon) isListed(id string) bool {
 	instances := d.base.Instances()
 	return len(instances) == 0 || slices.ContainsFunc(instances, func(i carawayspread.Instance) bool { return i.ID == id })
@@ -78,7 +79,7 @@
 	callers.Handle("/", d.entry)
 	server.HandleHealth(callers, ready)
 	operators := http.NewServeMux()
-	operators.Handle("/admin/", d.administration())
+	operators.Handle("/admin/", d.adminHandler())
 	server.HandleHealthAndMetrics(operators, ready, d.entry.Metrics(), d.base.Metrics())
 	peers := http.NewServeMux()
 	server.HandleHealthAndMetrics(peers, ready, d.entry.Metrics(), d.base.Metrics())
@@ -97,56 +98,58 @@
 	return err
 }
 
-// administration returns the administration API over what this entry knows.
-func (d *Daemon) administration() http.Handler {
-	listed := func(context.Context) ([]carawayspread.Instance, error) { return d.base.Instances(), nil }
+// adminHandler returns the administration API, based on the configuration and instance list of this
+// entry.
+func (d *Daemon) adminHandler() http.Handler {
+	instances := func(context.Context) ([]carawayspread.Instance, error) { return d.base.Instances(), nil }
 	client := &http.Client{}
 	dial := func(address string) control.Control {
 		return control.NewControlProtobufClient("http://"+address, client)
 	}
-	return admin.New(d.base.Changes(), d.base.Config(), fleet.New(listed, dial), d.base.Clock(), admin.WithLogger(d.base.Log()))
+	return admin.New(d.base.Changes(), d.base.Config(), fleet.New(instances, dial), d.base.Clock(), admin.WithLogger(d.base.Log()))
 }
 
-// Run serves until ctx ends, then refuses new requests and returns when the
-// last one has its answer.
+// Run serves until ctx ends, then refuses new requests and returns when the running ones are
+// answered.
 func (d *Daemon) Run(ctx context.Context) error {
-	group := d.base.Group(ctx, d.listed, d.data, d.admin, d.control)
+	group := d.base.Group(ctx, d.instancesChanged, d.data, d.admin, d.control)
 	group.Go(d.entry.Run)
 	group.Go(d.ledger.Run)
-	group.Go(func(work context.Context) error { return d.reports.Receive(work, d.reported) })
+	group.Go(func(runCtx context.Context) error { return d.reports.Receive(runCtx, d.handleReport) })
 	group.Go(d.planRoles)
-	group.Go(func(work context.Context) error { return d.leaveAfter(ctx, work) })
+	group.Go(func(runCtx context.Context) error { return d.drainAfter(ctx, runCtx) })
 	d.base.Log().WithField("listen", d.data.Address()).WithField("admin", d.admin.Address()).WithField("control", d.control.Address()).Info("entry serves")
 	err := group.Wait(ctx)
 	d.entry.Close()
-	d.base.Log().Info("entry ended")
+	d.base.Log().Info("entry stopped")
 	return trace.Wrap(err)
 }
 
-// leaveAfter returns when ctx has ended and every request has its answer.
+// drainAfter waits until ctx ends, and then until all requests are answered.
 //
-// The dispatchers and the watch must live until then: a queued request that nobody
-// sends would hold up the shutdown for ever.
-func (d *Daemon) leaveAfter(ctx, work context.Context) error {
+// The dispatchers and the watch of the instance list must run until then. Otherwise queued requests
+// would never be sent, and the shutdown would wait for them forever.
+func (d *Daemon) drainAfter(ctx, runCtx context.Context) error {
 	select {
 	case <-ctx.Done():
-	case <-work.Done():
-		return work.Err()
+	case <-runCtx.Done():
+		return runCtx.Err()
 	}
 	d.entry.Drain()
-	d.base.Log().Info("entry leaves")
-	return d.base.Finish(work, d.data, d.data.Shutdown)
+	d.base.Log().Info("entry is draining")
+	return d.base.FinishRequests(runCtx, d.data, d.data.Shutdown)
 }
 
-func (d *Daemon) adopted() {
+// configAdopted applies a changed configuration to the entry and wakes planRoles.
+func (d *Daemon) configAdopted() {
 	d.update()
 	select {
-	case d.changed <- struct{}{}:
+	case d.configChanged <- struct{}{}:
 	default:
 	}
 }
 
-// update applies the instance list and the configuration to the entry.
+// update applies the current instance list and configuration to the entry.
 func (d *Daemon) update() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -162,7 +165,7 @@
 	d.routed.Store(int64(routed))
 }
 
-func (d *Daemon) listed(instances []carawayspread.Instance) {
+func (d *Daemon) instancesChanged(instances []carawayspread.Instance) {
 	next := &directory{instances: instances, byHash: map[string]map[uint32]carawayspread.InstanceEndpoint{}}
 	for _, instance := range instances {
 		byHash := map[uint32]carawayspread.InstanceEndpoint{}
@@ -171,30 +174,30 @@
 		}
 		next.byHash[instance.ID] = byHash
 	}
-	d.known.Store(next)
+	d.directory.Store(next)
 	d.update()
 }
 
-// reported passes a load report on. Its calls do not overlap. The loads are
-// those that the sidecar counted itself when it sent the report.
-func (d *Daemon) reported(r *control.LoadReport) {
+// handleReport passes a load report on to the entry. Its calls must not overlap. The loads are those
+// that the sidecar counted when it sent the report.
+func (d *Daemon) handleReport(r *control.LoadReport) {
 	d.base.Config().ObserveVersion(carawayspread.Version(r.GetConfigVersion()))
 	if !d.loads.Complete(r) {
 		return
 	}
-	byHash := d.known.Load().byHash[r.GetInstance()]
+	byHash := d.directory.Load().byHash[r.GetInstance()]
 	now := d.base.Clock().Now()
 	for i, state := range r.GetEndpoints() {
 		if endpoint, ok := byHash[state.GetEndpointHash()]; ok {
-			d.entry.Reported(endpoint.Service, reportOf(r, i, endpoint.ID, now))
+			d.entry.Reported(endpoint.Service, endpointReport(r, i, endpoint.ID, now))
 		}
 	}
 }
 
-// reportOf returns the report of the endpoint at that place.
-func reportOf(r *control.LoadReport, i int, id carawayspread.EndpointID, now time.Time) carawayspread.EndpointReport {
+// endpointReport returns the report of the endpoint at index i of r.
+func endpointReport(r *control.LoadReport, i int, id carawayspread.EndpointID, now time.Time) carawayspread.EndpointReport {
 	state := r.GetEndpoints()[i]
-	seen := carawayspread.EndpointReport{
+	converted := carawayspread.EndpointReport{
 		Endpoint:    id,
 		MeasuredAt:  now,
 		Running:     int(r.GetRunning()[i]),
@@ -206,18 +209,18 @@
 		DecodeRate:  float64(state.GetDecodeRate()),
 	}
 	if len(r.GetWaiting()) > 0 {
-		seen.Waiting = int(r.GetWaiting()[i])
+		converted.Waiting = int(r.GetWaiting()[i])
 	}
 	if len(r.GetFlags()) > 0 {
 		flag := r.GetFlags()[i]
-		seen.Draining = seen.Draining || flag&control.EndpointFlag_ENDPOINT_FLAG_DRAINING != 0
-		seen.Crashed = flag&control.EndpointFlag_ENDPOINT_FLAG_CRASHED != 0
+		converted.Draining = converted.Draining || flag&control.EndpointFlag_ENDPOINT_FLAG_DRAINING != 0
+		converted.Crashed = flag&control.EndpointFlag_ENDPOINT_FLAG_CRASHED != 0
 	}
-	return seen
+	return converted
 }
 
-// Instance returns the daemon's row of the instance list, with the addresses
-// that are really open.
+// Instance returns the daemon's entry in the instance list, with the addresses on which it actually
+// listens.
 func (d *Daemon) Instance() carawayspread.Instance {
 	row := d.base.Settings().Instance()
 	row.Address = d.data.Address()
--- a/internal/daemon/entryd/decisions.go
+++ b/internal/daemon/entryd/decisions.go
@@ -8,15 +8,16 @@
 
 	"carawayspread/internal/decision/retrybudget"
 
-	// The modules that daemons run register themselves.
+	// The decision modules register themselves.
 	_ "carawayspread/internal/decision/ejection"
 	_ "carawayspread/internal/decision/fairqueue"
 	_ "carawayspread/internal/decision/gradient"
 	_ "carawayspread/internal/decision/hashrouter"
 )
 
-// decisions returns the modules of a service: what the registries fall back to.
-func decisions(zone string, clock carawayspread.Clock) func(carawayspread.Service) dispatcher.Modules {
+// moduleFactory returns a function that creates the decision modules of a service: the defaults of
+// the registries.
+func moduleFactory(zone string, clock carawayspread.Clock) func(carawayspread.Service) dispatcher.Modules {
 	return func(carawayspread.Service) dispatcher.Modules {
 		env := func() carawayspread.Environment {
 			return carawayspread.Environment{Clock: clock, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), Zone: zone}
--- a/internal/daemon/entryd/roles.go
+++ b/internal/daemon/entryd/roles.go
@@ -13,10 +13,11 @@
 	_ "carawayspread/internal/decision/rolepolicy"
 )
 
-// staticPolicy is the policy under which no role changes, so that nobody plans.
+// staticPolicy is the role policy that never changes a role, so that no planner is needed.
 const staticPolicy = "static"
 
-// planRoles runs a planner for every model service until ctx ends.
+// planRoles runs a planner for each model service until ctx ends, unless the policy is static.
+// Services that are added to the configuration later get theirs then.
 func (d *Daemon) planRoles(ctx context.Context) error {
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -29,7 +30,7 @@
 			}
 		}
 		select {
-		case <-d.changed:
+		case <-d.configChanged:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
--- a/internal/daemon/gatewayd/connections.go
+++ b/internal/daemon/gatewayd/connections.go
@@ -7,19 +7,19 @@
 	"sync"
 )
 
-// connections follows the connections of callers. It is safe for concurrent use.
+// connections tracks the states of the callers' connections. It is safe for concurrent use.
 //
-// The state of a connection changes when an answer has been written, which is later than
-// the end of the handler that made it.
+// A connection becomes idle only when its answer has been written, which is after the handler of the
+// request has returned.
 type connections struct {
 	mu     sync.Mutex
-	states map[net.Conn]http.ConnState // of those that are open
+	states map[net.Conn]http.ConnState // of the open connections
 }
 
 func newConnections() *connections { return &connections{states: map[net.Conn]http.ConnState{}} }
 
-// changed is the ConnState of an http.Server.
-func (c *connections) changed(conn net.Conn, state http.ConnState) {
+// setState is the ConnState hook of an http.Server.
+func (c *connections) setState(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch state {
@@ -30,19 +30,19 @@
 	}
 }
 
-// open returns how many connections there are.
+// open returns the number of open connections.
 func (c *connections) open() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.states)
 }
 
-// answering returns how many connections have a request without its whole answer.
-func (c *connections) answering() int { return c.count(http.StateActive) }
+// active returns the number of connections with a request that is not completely answered.
+func (c *connections) active() int { return c.count(http.StateActive) }
 
-// owed returns how many connections have, or had no time to send, a request without its
-// whole answer.
-func (c *connections) owed() int { return c.count(http.StateNew, http.StateActive) }
+// unanswered returns the number of connections that are active or new. A caller with a new
+// connection may have sent a request that was not read yet.
+func (c *connections) unanswered() int { return c.count(http.StateNew, http.StateActive) }
 
 func (c *connections) count(states ...http.ConnState) int {
 	c.mu.Lock()
--- a/internal/daemon/gatewayd/daemon.go
+++ b/internal/daemon/gatewayd/daemon.go
@@ -1,5 +1,5 @@
-// Package gatewayd composes the daemon that takes callers' requests by route
-// and reaches endpoints without sidecars.
+// Package gatewayd assembles the gateway daemon, which accepts callers' requests by route and sends
+// them to endpoints directly, without sidecars.
 package gatewayd
 
 import (
@@ -40,88 +40,89 @@
 )
 
 const (
-	headerTime = 10 * time.Second
-	bodyTime   = 30 * time.Second
-	// idleTime exceeds what operators grant callers, so that it is the caller
-	// who closes a connection, never a moment after it has sent a request.
-	idleTime    = 90 * time.Second
-	headerBytes = 64 << 10
+	headerTimeout = 10 * time.Second
+	bodyTimeout   = 30 * time.Second
+	// idleTimeout exceeds the idle timeout that operators configure for callers, so that callers
+	// close idle connections first. Otherwise the gateway could close a connection on which a
+	// caller has just sent a request.
+	idleTimeout    = 90 * time.Second
+	maxHeaderBytes = 64 << 10
 )
 
-// Ports are what the platform's translation brings.
+// Ports are the adapters between the gateway and the platform.
 type Ports struct {
 	Transport carawayspread.EndpointTransport
 	Protocol  carawayspread.Protocol
-	// Source reads what operators and endpoints publish, and hands it to the sink.
+	// Source reads what operators and endpoints publish, and passes it to the sink.
 	Source func(sink *Daemon) follower.Source
-	// Table keeps the lease of orders to engines, and Engine gives them.
+	// Table stores the lease for orders to engines, and Engine returns the client that sends them.
 	Table  carawayspread.Table
 	Engine func(carawayspread.Endpoint) carawayspread.Engine
-	// Uptime and StoreTime are what the source observes the store's clock with.
+	// Uptime and StoreTime are the clocks with which the source observes the time of the store.
 	Uptime    carawayspread.Uptime
 	StoreTime *storetime.Clock
-	// Usage takes reports of usage; nil where none are asked for.
+	// Usage accepts usage reports. It is nil if none are wanted.
 	Usage carawayspread.UsageSink
 }
 
-// Daemon is one gateway process.
+// Daemon is a gateway process.
 type Daemon struct {
-	settings *gatewaysettings.Settings
-	clock    carawayspread.Clock
-	log      log.Interface
-	lines    *decisionlog.Log
-	gateway  *gateway.Gateway
-	peers    *peers.Socket
-	placer   carawayspread.Placer
-	rota     *zonereader.Election
-	follower *follower.Follower
-	learner  *knowledge.Learner
-	keeper   *rolekeeper.Keeper // nil where no role changes
-	trueTime *clocksync.Clock
-	usage    *usageDuty // nil where no usage is reported
-	listed   atomic.Bool
-	leaving  atomic.Bool
+	settings       *gatewaysettings.Settings
+	clock          carawayspread.Clock
+	log            log.Interface
+	decisionLog    *decisionlog.Log
+	gateway        *gateway.Gateway
+	peers          *peers.Socket
+	placer         carawayspread.Placer
+	election       *zonereader.Election
+	follower       *follower.Follower
+	learner        *knowledge.Learner
+	roleController *rolekeeper.Keeper // nil if roles do not change
+	syncedClock    *clocksync.Clock
+	usage          *usageAccounting // nil if no usage is reported
+	endpointsKnown atomic.Bool
+	draining       atomic.Bool
 
-	// serving is the context that all requests of callers descend from.
-	serving    context.Context
-	endServing context.CancelCauseFunc
+	// requestCtx is the parent context of all requests of callers.
+	requestCtx     context.Context
+	cancelRequests context.CancelCauseFunc
 
 	callers     *http.Server
 	connections *connections
 	listener    *callers.Listener
-	served      chan struct{} // closed when no connection is accepted any more
+	acceptEnded chan struct{} // closed when no further connection is accepted
 	health      *server.Server
 	metrics     *server.Server
 	control     *server.Server // for peers
 }
 
-// New opens the daemon's addresses. Decisions are logged to out.
+// New returns a daemon and starts to listen on its addresses. The decision log is written to out.
 func New(s *gatewaysettings.Settings, clock carawayspread.Clock, l log.Interface, out io.Writer, ports Ports) (*Daemon, error) {
 	d := &Daemon{
-		settings: s, clock: clock, log: l.WithField("instance", s.ID()), lines: decisionlog.New(out),
-		served: make(chan struct{}), connections: newConnections(),
+		settings: s, clock: clock, log: l.WithField("instance", s.ID()), decisionLog: decisionlog.New(out),
+		acceptEnded: make(chan struct{}), connections: newConnections(),
 	}
-	d.serving, d.endServing = context.WithCancelCause(context.Background())
+	d.requestCtx, d.cancelRequests = context.WithCancelCause(context.Background())
 	var err error
 	if d.peers, err = peers.Listen(s.Peer(), s.Seeds(), clock); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	newPlacer, known := carawayspread.Placers.Get(s.Placement())
 	if !known {
-		d.log.WithField("placement", s.Placement()).Warn("unknown placement, the default is used")
+		d.log.WithField("placement", s.Placement()).Warn("unknown placement; using the default")
 	}
-	d.trueTime = clocksync.New(clock, ports.StoreTime.Now)
+	d.syncedClock = clocksync.New(clock, ports.StoreTime.Now)
 	d.placer = newPlacer(carawayspread.Environment{
 		Clock: clock, Zone: s.Zone(), Broadcast: d.peers.Broadcast,
 		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
-	d.gateway = gateway.New(ports.Transport, ports.Protocol, d.placer, clock, d.lines,
-		gateway.WithConfigFreshness(evidence{d}, s.Revoked(), s.Terms().ConfigApply),
-		gateway.WithUsage(d.began),
+	d.gateway = gateway.New(ports.Transport, ports.Protocol, d.placer, clock, d.decisionLog,
+		gateway.WithConfigFreshness(freshness{d}, s.Revoked(), s.Terms().ConfigApply),
+		gateway.WithUsage(d.countRequest),
 		gateway.WithRetryBudget(s.Budget(), d.peers.FleetSize),
 		gateway.WithFeedback(d.peers.BroadcastFeedback, d.peers.Membership),
 		gateway.WithListAge(func() time.Duration {
-			age, _ := d.rota.Age(carawayspread.ResourceEndpoints)
+			age, _ := d.election.Age(carawayspread.ResourceEndpoints)
 			return age
 		}),
 		gateway.WithCrashReporter(func(fingerprint uint64, id carawayspread.EndpointID, withdrawn bool) {
@@ -129,24 +130,24 @@
 		}),
 		gateway.WithAnswerReporter(d.peers.BroadcastAnswered))
 	d.peers.SetRefusalTracker(d.gateway)
-	d.keep(ports)
-	d.follow(ports)
-	d.account(ports)
+	d.setUpRoleController(ports)
+	d.setUpFollower(ports)
+	d.setUpUsage(ports)
 	d.gateway.Metrics().NewGauge(fmt.Sprintf("gateway_settings_info{instance=%q,zone=%q,settings=%q}", s.ID(), s.Zone(), s.Digest()),
 		func() float64 { return 1 })
 	return d, trace.Wrap(d.listen())
 }
 
-// follow prepares the learning of routes and endpoints.
-func (d *Daemon) follow(ports Ports) {
+// setUpFollower creates what follows the changes of routes and endpoints.
+func (d *Daemon) setUpFollower(ports Ports) {
 	s := d.settings
-	d.rota = zonereader.New(d.peers.ID(), s.Zone(), s.Capacity(), s.Terms(), d.clock)
-	d.follower = follower.New(ports.Source(d), d.rota, s.Zone(), s.Capacity(), d.peers.Announce, d.clock, ports.StoreTime)
-	d.peers.SetStatusFunc(d.presence)
+	d.election = zonereader.New(d.peers.ID(), s.Zone(), s.Capacity(), s.Terms(), d.clock)
+	d.follower = follower.New(ports.Source(d), d.election, s.Zone(), s.Capacity(), d.peers.Announce, d.clock, ports.StoreTime)
+	d.peers.SetStatusFunc(d.peerStatus)
 	d.learner = knowledge.New(d.follower, d.peers.PeerAddresses, d.clock, d.log, d.gateway.Metrics(),
 		knowledge.WithStoreTime(ports.Uptime, ports.StoreTime.Observe))
 	d.gateway.Metrics().NewGauge("gateway_reads_store", func() float64 {
-		if d.rota.IsReader() {
+		if d.election.IsReader() {
 			return 1
 		}
 		return 0
@@ -155,64 +156,65 @@
 		age, _ := d.follower.Age()
 		return age.Seconds()
 	})
-	for of := range carawayspread.ResourceCount {
-		d.gateway.Metrics().NewGauge(`gateway_confirmed_seconds_ago{of="`+of.String()+`"}`, func() float64 {
-			age, _ := d.rota.Age(of)
+	for resource := range carawayspread.ResourceCount {
+		d.gateway.Metrics().NewGauge(`gateway_confirmed_seconds_ago{of="`+resource.String()+`"}`, func() float64 {
+			age, _ := d.election.Age(resource)
 			return age.Seconds()
 		})
 	}
 }
 
-// evidence is the follower's, which is made after the gateway that asks it.
-type evidence struct{ d *Daemon }
+// freshness implements carawayspread.ConfigFreshness by the follower, which is created after the
+// gateway that uses it.
+type freshness struct{ d *Daemon }
 
-func (e evidence) Age() (time.Duration, bool)        { return e.d.follower.Age() }
-func (e evidence) Refresh(ctx context.Context) error { return e.d.follower.Refresh(ctx) }
+func (f freshness) Age() (time.Duration, bool)        { return f.d.follower.Age() }
+func (f freshness) Refresh(ctx context.Context) error { return f.d.follower.Refresh(ctx) }
 
-// presence returns how this process stands.
-func (d *Daemon) presence() carawayspread.PeerStatus {
+// peerStatus returns the status of this process for its peers.
+func (d *Daemon) peerStatus() carawayspread.PeerStatus {
 	p := d.follower.PeerStatus()
-	p.StoreEpoch, _ = d.trueTime.Epoch()
+	p.StoreEpoch, _ = d.syncedClock.Epoch()
 	p.MayHoldUsageLease = d.usage != nil && d.usage.reporter.Holds()
 	return p
 }
 
-// ApplyLoadUpdates takes the placements of a peer.
-func (d *Daemon) ApplyLoadUpdates(from string, notices []carawayspread.LoadUpdate) {
-	d.placer.ApplyLoadUpdates(from, notices)
+// ApplyLoadUpdates passes load updates of a peer to the placer.
+func (d *Daemon) ApplyLoadUpdates(from string, updates []carawayspread.LoadUpdate) {
+	d.placer.ApplyLoadUpdates(from, updates)
 }
 
-// ApplyPeerStatus takes how a peer stands.
+// ApplyPeerStatus records the status of a peer.
 func (d *Daemon) ApplyPeerStatus(id uint64, address string, s carawayspread.PeerStatus) {
 	d.follower.ObservePeer(id, address, s)
-	d.trueTime.ObservePeer(id, s.StoreEpoch)
+	d.syncedClock.ObservePeer(id, s.StoreEpoch)
 }
 
-// RecordCrash takes a request that broke an endpoint before a peer.
+// RecordCrash records a crash that a peer reported, or its withdrawal.
 func (d *Daemon) RecordCrash(c peers.Crash) {
 	d.gateway.RecordCrash(c.Fingerprint, carawayspread.EndpointID(c.Endpoint), c.Withdrawn)
 }
 
-// ApplyPeerFeedback takes what an answer to a peer says of its endpoint.
+// ApplyPeerFeedback records the feedback that an endpoint gave in an answer to a peer.
 func (d *Daemon) ApplyPeerFeedback(f peers.EndpointFeedback) {
 	d.gateway.ApplyPeerFeedback(f.Endpoint, f.Feedback)
 }
 
-// keep prepares changes of roles, where the policy makes some and the placer
-// knows what it needs.
-func (d *Daemon) keep(ports Ports) {
-	source, knows := d.placer.(carawayspread.RoleSource)
+// setUpRoleController creates the role controller if the policy changes roles and the placer
+// provides the state that the controller needs.
+func (d *Daemon) setUpRoleController(ports Ports) {
+	source, supportsRoles := d.placer.(carawayspread.RoleSource)
 	policy, known := carawayspread.RolePolicies.Get(d.settings.RolePolicy())
 	if !known {
-		d.log.WithField("rolePolicy", d.settings.RolePolicy()).Warn("unknown role policy, the default is used")
+		d.log.WithField("rolePolicy", d.settings.RolePolicy()).Warn("unknown role policy; using the default")
 		policy, _ = carawayspread.RolePolicies.Get(gatewaysettings.RolesBalanced)
 	}
-	if !knows || d.settings.RolePolicy() == gatewaysettings.RolesAsFound {
+	if !supportsRoles || d.settings.RolePolicy() == gatewaysettings.RolesAsFound {
 		return
 	}
 	env := carawayspread.Environment{Clock: d.clock, Zone: d.settings.Zone()}
-	d.keeper = rolekeeper.New(source, func() carawayspread.RolePolicy { return policy(env) },
-		ports.Table, ports.Engine, d.clock, d.lines, d.gateway.Metrics())
+	d.roleController = rolekeeper.New(source, func() carawayspread.RolePolicy { return policy(env) },
+		ports.Table, ports.Engine, d.clock, d.decisionLog, d.gateway.Metrics())
 }
 
 func (d *Daemon) listen() error {
@@ -221,12 +223,12 @@
 		return err
 	}
 	d.callers = &http.Server{
-		Handler: d.gateway, ReadHeaderTimeout: headerTime, ReadTimeout: bodyTime, IdleTimeout: idleTime,
-		MaxHeaderBytes: headerBytes, DisableGeneralOptionsHandler: true, ConnState: d.connections.changed,
-		BaseContext: func(net.Listener) context.Context { return d.serving },
+		Handler: d.gateway, ReadHeaderTimeout: headerTimeout, ReadTimeout: bodyTimeout, IdleTimeout: idleTimeout,
+		MaxHeaderBytes: maxHeaderBytes, DisableGeneralOptionsHandler: true, ConnState: d.connections.setState,
+		BaseContext: func(net.Listener) context.Context { return d.requestCtx },
 	}
 	health := http.NewServeMux()
-	health.HandleFunc("GET /{path...}", d.answerReady)
+	health.HandleFunc("GET /{path...}", d.serveReadiness)
 	if d.health, err = server.Listen(d.settings.Health(), health); err != nil {
 		return err
 	}
@@ -237,7 +239,7 @@
 	return err
 }
 
-func (d *Daemon) answerReady(w http.ResponseWriter, _ *http.Request) {
+func (d *Daemon) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if !d.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
@@ -252,61 +254,61 @@
 // MetricsAddress returns the IP address and port of the metrics server.
 func (d *Daemon) MetricsAddress() string { return d.metrics.Address() }
 
-// Ready reports whether callers are better served here than elsewhere.
+// Ready reports whether the process can serve callers. It is false from the start of a drain.
 func (d *Daemon) Ready() bool {
-	return !d.leaving.Load() && d.gateway.Routing() != nil && d.listed.Load() && d.gateway.CanAuthenticate()
+	return !d.draining.Load() && d.gateway.Routing() != nil && d.endpointsKnown.Load() && d.gateway.CanAuthenticate()
 }
 
 // LibraryWriter returns the writer for what libraries print.
-func (d *Daemon) LibraryWriter() io.Writer { return d.lines.EventWriter("library") }
+func (d *Daemon) LibraryWriter() io.Writer { return d.decisionLog.EventWriter("library") }
 
-// Adopt takes a newer set of routes.
+// Adopt applies a newer set of routes.
 func (d *Daemon) Adopt(t *carawayspread.Routing) {
 	d.gateway.Adopt(t)
-	d.name(t)
+	d.addWorkspaceNames(t)
 }
 
-// Listed takes all endpoints.
+// Listed applies the list of all endpoints.
 func (d *Daemon) Listed(endpoints []carawayspread.Endpoint) {
 	d.gateway.SetEndpoints(endpoints)
-	if len(endpoints) > 0 && !d.listed.Swap(true) {
+	if len(endpoints) > 0 && !d.endpointsKnown.Swap(true) {
 		d.log.WithField("endpoints", len(endpoints)).Info("endpoints known")
 	}
 }
 
-// Run serves until ctx ends, then takes no new connections after a while and
-// returns when the last request has its answer.
+// Run serves until ctx ends. Then it drains: it stops accepting connections after a while, and
+// returns when the last request is answered or the grace period is nearly over.
 func (d *Daemon) Run(ctx context.Context) error {
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	group, work := errgroup.WithContext(work)
+	group, runCtx := errgroup.WithContext(runCtx)
 	run := func(f func(context.Context) error) {
 		group.Go(func() error {
-			if err := f(work); err != nil && work.Err() == nil {
+			if err := f(runCtx); err != nil && runCtx.Err() == nil {
 				return err
 			}
 			return nil
 		})
 	}
-	run(d.lines.Run)
+	run(d.decisionLog.Run)
 	run(d.peers.Run)
 	run(d.follower.RunRoutes)
 	run(d.follower.RunEndpoints)
 	run(func(ctx context.Context) error { return d.follower.RunPulls(ctx, d.learner) })
 	run(d.learner.Run)
-	endReports, endCounts := d.runUsage(work)
+	stopReports, stopCounts := d.runUsage(runCtx)
 	if d.settings.Revoked() > 0 || d.usage != nil {
 		run(func(ctx context.Context) error { return d.follower.RunStoreClock(ctx, d.learner) })
 	}
-	if d.keeper != nil {
-		run(d.keeper.Run)
+	if d.roleController != nil {
+		run(d.roleController.Run)
 	}
 	run(func(context.Context) error { return d.control.Run() })
 	run(func(context.Context) error { return d.peers.Receive(d) })
 	run(func(context.Context) error { return d.health.Run() })
 	run(func(context.Context) error { return d.metrics.Run() })
 	run(func(context.Context) error {
-		defer close(d.served)
+		defer close(d.acceptEnded)
 		if err := d.callers.Serve(d.listener); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
 			return err
 		}
@@ -316,18 +318,18 @@
 		WithField("peer", d.peers.Address()).WithField("settings", d.settings.Digest()).Info("start")
 	select {
 	case <-ctx.Done():
-		endReports()
-		d.leave()
-	case <-work.Done():
+		stopReports()
+		d.drain()
+	case <-runCtx.Done():
 	}
-	endCounts()
+	stopCounts()
 	stop()
 	d.peers.Close()
-	_ = d.health.Shutdown(work)
-	_ = d.metrics.Shutdown(work)
-	_ = d.control.Shutdown(work)
+	_ = d.health.Shutdown(runCtx)
+	_ = d.metrics.Shutdown(runCtx)
+	_ = d.control.Shutdown(runCtx)
 	_ = d.callers.Close()
-	d.endServing(nil)
+	d.cancelRequests(nil)
 	err := group.Wait()
 	d.log.WithField("running", d.gateway.Running()).Info("stop")
 	return trace.Wrap(err)
--- a/internal/daemon/gatewayd/usage.go
+++ b/internal/daemon/gatewayd/usage.go
@@ -14,65 +14,65 @@
 	"carawayspread/internal/process/decisionlog"
 )
 
-// reportRetryBase and reportRetryLimit bound the first and any later wait after a report
-// without an answer.
+// reportRetryBase and reportRetryLimit limit the wait after the first and after any later report
+// without a reply.
 const (
 	reportRetryBase  = 200 * time.Millisecond
 	reportRetryLimit = time.Second
 )
 
-// usageDuty is the process's part in reporting the usage of workspaces.
-type usageDuty struct {
-	terms     carawayspread.UsageWindows
+// usageAccounting holds what this process needs to count and report the usage of workspaces.
+type usageAccounting struct {
+	windows   carawayspread.UsageWindows
 	ledger    *usage.Ledger
 	publisher *usagepublisher.Publisher
 	reporter  *usagereporter.Reporter
-	named     atomic.Pointer[carawayspread.Keyring] // whose workspaces the ledger names
+	keyring   atomic.Pointer[carawayspread.Keyring] // whose workspace names the ledger has
 }
 
-// account prepares the counting of usage, where it is reported.
-func (d *Daemon) account(ports Ports) {
+// setUpUsage creates the usage accounting if usage is to be reported.
+func (d *Daemon) setUpUsage(ports Ports) {
 	s := d.settings.Usage()
 	if s == nil || ports.Usage == nil {
 		return
 	}
-	servesAlone := d.settings.Revoked()
-	if servesAlone == 0 {
-		servesAlone = time.Minute // a process that nobody hears serves on
+	maxIsolation := d.settings.Revoked()
+	if maxIsolation == 0 {
+		maxIsolation = time.Minute // without a revocation bound, an isolated process keeps serving
 	}
 	ledger := usage.New(d.peers.ID())
-	d.usage = &usageDuty{
-		terms: s.Terms(), ledger: ledger,
-		publisher: usagepublisher.New(ledger, d.peers, s.Terms(), d.trueTime.Now, d.clock),
+	d.usage = &usageAccounting{
+		windows: s.Terms(), ledger: ledger,
+		publisher: usagepublisher.New(ledger, d.peers, s.Terms(), d.syncedClock.Now, d.clock),
 		reporter: usagereporter.New(d.settings.ID(), s.Terms(), usagereporter.Deps{
 			Ledger: ledger, Fleet: d.peers, Sink: ports.Usage, Table: ports.Table, Uptime: ports.Uptime,
-			SyncedTime: d.trueTime.Now, Workspaces: d.workspaces, MaxIsolation: servesAlone,
+			SyncedTime: d.syncedClock.Now, Workspaces: d.workspaces, MaxIsolation: maxIsolation,
 			Backoff: backoff.New(d.clock, reportRetryBase, reportRetryLimit),
-			Clock:   d.clock, Log: d.lines, Metrics: d.gateway.Metrics(),
+			Clock:   d.clock, Log: d.decisionLog, Metrics: d.gateway.Metrics(),
 		}),
 	}
 }
 
-// runUsage counts and reports until the functions that it returns are called: the first
-// has another process report and does not wait, the second returns when peers were told
-// the last counts.
-func (d *Daemon) runUsage(ctx context.Context) (endReports, endCounts func()) {
+// runUsage publishes and reports usage until the returned functions are called. stopReports ends the
+// reports of this process, so that another one takes over, and does not wait. stopCounts also ends the
+// publishing and returns after the final counts were sent to the collectors.
+func (d *Daemon) runUsage(ctx context.Context) (stopReports, stopCounts func()) {
 	if d.usage == nil {
 		return func() {}, func() {}
 	}
-	reports, endReports := context.WithCancel(ctx)
-	counts, cancel := context.WithCancel(ctx)
+	reports, stopReports := context.WithCancel(ctx)
+	counts, cancelCounts := context.WithCancel(ctx)
 	var running sync.WaitGroup
-	running.Go(func() { _ = d.usage.reporter.Run(reports) }) // both end with their contexts alone
+	running.Go(func() { _ = d.usage.reporter.Run(reports) }) // both return only when their contexts end
 	running.Go(func() { _ = d.usage.publisher.Run(counts) })
-	return endReports, func() {
-		endReports()
-		cancel()
+	return stopReports, func() {
+		stopReports()
+		cancelCounts()
 		running.Wait()
 	}
 }
 
-// workspaces returns the names of those that hold a key.
+// workspaces returns the names of the workspaces that have an API key.
 func (d *Daemon) workspaces() map[string]bool {
 	routing := d.gateway.Routing()
 	if routing == nil || routing.Keyring() == nil {
@@ -81,33 +81,35 @@
 	return routing.Keyring().Names()
 }
 
-func (d *Daemon) name(t *carawayspread.Routing) {
+// addWorkspaceNames adds the workspaces of a new keyring to the usage ledger.
+func (d *Daemon) addWorkspaceNames(t *carawayspread.Routing) {
 	keyring := t.Keyring()
-	if d.usage == nil || keyring == nil || d.usage.named.Swap(keyring) == keyring {
+	if d.usage == nil || keyring == nil || d.usage.keyring.Swap(keyring) == keyring {
 		return
 	}
 	d.usage.ledger.AddNames(keyring.Names())
 }
 
-// began counts a request that began to run so long ago.
-func (d *Daemon) began(workspace string, ago time.Duration) {
+// countRequest counts a request that started to run that long ago.
+func (d *Daemon) countRequest(workspace string, ago time.Duration) {
 	if d.usage == nil {
 		return
 	}
-	now, known := d.trueTime.Now()
-	window := d.usage.terms.Window(now - ago)
+	now, known := d.syncedClock.Now()
+	window := d.usage.windows.Window(now - ago)
 	if !known || !d.usage.ledger.Count(window, workspace) {
-		d.lines.Write(decisionlog.Start("usage").Text("workspace", workspace).Int("window", window).Text("outcome", "late"))
+		d.decisionLog.Write(decisionlog.Start("usage").Text("workspace", workspace).Int("window", window).Text("outcome", "late"))
 		d.gateway.Metrics().GetOrCreateCounter("gateway_usage_late_total").Inc()
 	}
 }
 
-// UsageReceived takes what a peer counted.
+// UsageReceived merges the counts of a peer, and reports whether all counts of the peer for the window
+// have arrived and it has closed the window.
 func (d *Daemon) UsageReceived(s carawayspread.UsageStatement) bool {
 	return d.usage != nil && d.usage.ledger.Merge(s)
 }
 
-// Acknowledged takes note that a peer knows what this process counted in a window.
+// Acknowledged records that a peer has all counts of this process for a closed window.
 func (d *Daemon) Acknowledged(peer uint64, window int64) {
 	if d.usage != nil {
 		d.usage.publisher.Acknowledged(peer, window)
--- a/internal/daemon/server/server.go
+++ b/internal/daemon/server/server.go
@@ -1,5 +1,5 @@
-// Package server runs HTTP servers in a run group, with a time limit on every
-// part of a request that its peer controls, and a shutdown that cuts nothing.
+// Package server provides HTTP servers for a run group. They limit the time of each part of a request
+// that the client controls, and have a graceful shutdown.
 package server
 
 import (
@@ -15,7 +15,7 @@
 	"carawayspread"
 )
 
-// Defaults of a Server.
+// Default limits of a Server.
 const (
 	readHeaderTimeout = 10 * time.Second
 	bodyTimeout       = 2 * time.Minute
@@ -23,30 +23,30 @@
 	headerLimit       = 64 << 10 // bytes
 )
 
-// Server is one HTTP server at an address.
+// Server is an HTTP server on one address.
 type Server struct {
 	listener net.Listener
 	http     *http.Server
-	// abort ends the context that all requests descend from.
+	// abort cancels the parent context of all requests.
 	abort context.CancelCauseFunc
 }
 
 // Option sets a limit of a Server.
 type Option func(*http.Server)
 
-// WithTimeouts bounds how long a peer may take to send the header, and the
-// whole, of a request, and how long an unused connection is kept. Answers have
-// no limit: net/http lifts the deadline when the body has been read.
+// WithTimeouts limits the time in which a client must send the header and the whole request, and how
+// long an idle connection is kept. Responses have no time limit, because net/http removes the read
+// deadline once the body has been read.
 func WithTimeouts(header, body, idle time.Duration) Option {
 	return func(s *http.Server) {
 		s.ReadHeaderTimeout, s.ReadTimeout, s.IdleTimeout = header, body, idle
 	}
 }
 
-// WithHeaderLimit bounds the header of a request in bytes.
+// WithHeaderLimit limits the size of a request header in bytes.
 func WithHeaderLimit(n int) Option { return func(s *http.Server) { s.MaxHeaderBytes = n } }
 
-// Listen opens the address; serving begins with Run.
+// Listen returns a server on the address. It serves once Run is called.
 func Listen(address string, handler http.Handler, opts ...Option) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -55,13 +55,12 @@
 	return New(listener, handler, opts...), nil
 }
 
-// New returns a server of connections that the listener takes; serving begins
-// with Run.
+// New returns a server for the connections of the listener. It serves once Run is called.
 func New(listener net.Listener, handler http.Handler, opts ...Option) *Server {
-	serving, abort := context.WithCancelCause(context.Background())
+	requestCtx, abort := context.WithCancelCause(context.Background())
 	s := &http.Server{
 		Handler:           handler,
-		BaseContext:       func(net.Listener) context.Context { return serving },
+		BaseContext:       func(net.Listener) context.Context { return requestCtx },
 		ReadHeaderTimeout: readHeaderTimeout,
 		ReadTimeout:       bodyTimeout,
 		IdleTimeout:       idleTimeout,
@@ -73,10 +72,10 @@
 	return &Server{listener: listener, http: s, abort: abort}
 }
 
-// Address returns IP number and port.
+// Address returns the IP address and port.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Run serves until Shutdown.
+// Run serves until Shutdown or ShutdownWithin is called, and then returns nil at once.
 func (s *Server) Run() error {
 	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		return trace.Wrap(err)
@@ -84,15 +83,15 @@
 	return nil
 }
 
-// Shutdown stops accepting and waits, without limit but ctx, until every
-// request has its answer.
+// Shutdown stops accepting connections and waits until all requests are answered or ctx ends.
 func (s *Server) Shutdown(ctx context.Context) error { return trace.Wrap(s.http.Shutdown(ctx)) }
 
-// Abort ends the contexts of all requests, those that still come included, with the cause.
+// Abort cancels the contexts of all current and future requests with the cause.
 func (s *Server) Abort(cause error) { s.abort(cause) }
 
-// ShutdownWithin stops accepting and returns after twice that time at the latest. Requests that take
-// longer than it have their contexts ended, and what is left then is closed.
+// ShutdownWithin stops accepting connections and returns after at most twice the given time. Requests
+// that take longer than that time are canceled, and after the same time again the remaining
+// connections are closed.
 func (s *Server) ShutdownWithin(within time.Duration) {
 	if s.shutdown(within) == nil {
 		return
@@ -109,8 +108,9 @@
 	return s.http.Shutdown(ctx)
 }
 
-// HandleHealthAndMetrics adds the paths that every daemon has: /healthz answers while the
-// process lives, /readyz while ready returns true, and /metrics.
+// HandleHealthAndMetrics adds the paths that every daemon has: /healthz succeeds while the process
+// runs, /readyz while ready returns true, and /metrics returns the metrics of the sets and of the
+// process.
 func HandleHealthAndMetrics(mux *http.ServeMux, ready func() bool, sets ...*metrics.Set) {
 	HandleHealth(mux, ready)
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
@@ -121,8 +121,8 @@
 	})
 }
 
-// HandleHealth adds /healthz and /readyz alone, for the address that the
-// platform's balancer and callers reach.
+// HandleHealth adds only /healthz and /readyz, for the address that callers and the platform's load
+// balancer use.
 func HandleHealth(mux *http.ServeMux, ready func() bool) {
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("ok\n"))
--- a/internal/daemon/server/server_test.go
+++ b/internal/daemon/server/server_test.go
@@ -11,20 +11,20 @@
 	"carawayspread"
 )
 
-// Guards against a daemon that never ends, as a request to it never does.
-func TestServerEndsThoughARequestDoesNot(t *testing.T) {
+// Guards against a daemon that never exits because a request to it never ends.
+func TestShutdownReturnsDespiteStuckRequest(t *testing.T) {
 	const within = 50 * time.Millisecond
-	for name, ends := range map[string]func(r *http.Request, over chan struct{}){
-		"it ends with its context": func(r *http.Request, _ chan struct{}) { <-r.Context().Done() },
-		"it ends with nothing":     func(_ *http.Request, over chan struct{}) { <-over },
+	for name, handle := range map[string]func(r *http.Request, release chan struct{}){
+		"request ends with its context": func(r *http.Request, _ chan struct{}) { <-r.Context().Done() },
+		"request never ends":            func(_ *http.Request, release chan struct{}) { <-release },
 	} {
 		t.Run(name, func(t *testing.T) {
-			running, over, cause := make(chan struct{}), make(chan struct{}), make(chan error, 1)
-			defer close(over)
+			running, release, cause := make(chan struct{}), make(chan struct{}), make(chan error, 1)
+			defer close(release)
 			s, err := Listen("127.0.0.1:0", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 				context.AfterFunc(r.Context(), func() { cause <- context.Cause(r.Context()) })
 				close(running)
-				ends(r, over)
+				handle(r, release)
 			}))
 			qt.Assert(t, err, qt.IsNil)
 			served := make(chan error, 1)
@@ -35,15 +35,15 @@
 				}
 			}()
 			<-running
-			ended := make(chan struct{})
+			returned := make(chan struct{})
 			go func() {
 				s.ShutdownWithin(within)
-				close(ended)
+				close(returned)
 			}()
 			select {
-			case <-ended:
+			case <-returned:
 			case <-time.After(5 * time.Second):
-				t.Fatal("it waits for the request")
+				t.Fatal("ShutdownWithin waits for the request")
 			}
 			qt.Check(t, <-cause, qt.Equals, carawayspread.ErrShutdown)
 			qt.Check(t, <-served, qt.IsNil)
--- a/internal/daemon/sidecard/control.go
+++ b/internal/daemon/sidecard/control.go
@@ -9,12 +9,13 @@
 
 var _ control.Control = (*Daemon)(nil)
 
-// Changes answers a daemon that asks for configuration changes.
+// Changes returns the configuration changes that another daemon requests.
 func (d *Daemon) Changes(ctx context.Context, req *control.ChangesRequest) (*control.ChangesResponse, error) {
 	return d.base.Config().Changes(ctx, req)
 }
 
-// Status tells what the sidecar holds and does.
+// Status returns the state of the sidecar and of its endpoints, and records the configuration version
+// of the request.
 func (d *Daemon) Status(_ context.Context, req *control.StatusRequest) (*control.StatusResponse, error) {
 	d.base.Config().ObserveVersion(carawayspread.Version(req.GetConfigVersion()))
 	age, _ := d.base.Config().Staleness()
@@ -28,7 +29,7 @@
 	}, nil
 }
 
-// Drain gives one endpoint, or all, no new work; running requests finish.
+// Drain stops new requests to one endpoint, or to all if none is named. Running requests finish.
 func (d *Daemon) Drain(_ context.Context, req *control.DrainRequest) (*control.DrainResponse, error) {
 	running := d.sidecar.Drain(carawayspread.EndpointID(req.GetEndpoint()))
 	d.base.Log().WithField("endpoint", req.GetEndpoint()).WithField("actor", req.GetActor()).WithField("running", running).Info("drain ordered")
--- a/internal/daemon/sidecard/daemon.go
+++ b/internal/daemon/sidecard/daemon.go
@@ -1,5 +1,5 @@
-// Package sidecard composes the daemon beside the endpoints of an instance:
-// data path, control service, load reports and the state of the endpoints.
+// Package sidecard assembles the sidecar daemon, which runs next to the endpoints of an instance: data
+// path, control service, load reports and the state of the endpoints.
 package sidecard
 
 import (
@@ -25,22 +25,22 @@
 	"carawayspread/internal/version/settings"
 )
 
-// Daemon is one sidecar process.
+// Daemon is a sidecar process.
 type Daemon struct {
-	base     *base.Base
-	sidecar  *sidecar.Sidecar
-	data     *server.Server
-	control  *server.Server
-	reports  *report.Socket
-	entries  atomic.Pointer[[]netip.AddrPort]
-	sidecars atomic.Int64 // sidecars in the instance list
-	reporter *reporter.Reporter
-	nudge    chan struct{} // asks for a report at once
+	base      *base.Base
+	sidecar   *sidecar.Sidecar
+	data      *server.Server
+	control   *server.Server
+	reports   *report.Socket
+	entries   atomic.Pointer[[]netip.AddrPort]
+	sidecars  atomic.Int64 // number of sidecars in the instance list
+	reporter  *reporter.Reporter
+	reportNow chan struct{} // requests an immediate report; capacity 1
 }
 
-// New opens the daemon's addresses.
+// New returns a daemon and starts to listen on its addresses.
 func New(b *base.Base) (*Daemon, error) {
-	d := &Daemon{base: b, nudge: make(chan struct{}, 1)}
+	d := &Daemon{base: b, reportNow: make(chan struct{}, 1)}
 	d.reporter = reporter.New(b.Settings().ID(), b.Clock().Now())
 	d.entries.Store(&[]netip.AddrPort{})
 	s := b.Settings()
@@ -71,37 +71,37 @@
 	return list
 }
 
-// Run serves until ctx ends, then drains: it takes no new work, tells every
-// entry, and returns when the last request has its answer.
+// Run serves until ctx ends, then drains: it refuses new requests, reports that to all entries, and
+// returns when the running requests are answered.
 func (d *Daemon) Run(ctx context.Context) error {
-	group := d.base.Group(ctx, d.listed, d.data, d.control)
+	group := d.base.Group(ctx, d.instancesChanged, d.data, d.control)
 	group.Go(d.sidecar.Run)
 	for _, follower := range d.followers() {
 		group.Go(follower.Run)
 	}
 	group.Go(d.sendReports)
-	group.Go(func(work context.Context) error { return d.drainAfter(ctx, work) })
+	group.Go(func(runCtx context.Context) error { return d.drainAfter(ctx, runCtx) })
 	d.base.Log().WithField("listen", d.data.Address()).WithField("control", d.control.Address()).Info("sidecar serves")
 	err := group.Wait(ctx)
 	_ = d.reports.Close()
 	d.sidecar.Close()
-	d.base.Log().Info("sidecar ended")
+	d.base.Log().Info("sidecar stopped")
 	return trace.Wrap(err)
 }
 
-// drainAfter returns when ctx has ended and no request runs any more.
-func (d *Daemon) drainAfter(ctx, work context.Context) error {
+// drainAfter waits until ctx ends, and then until all requests are answered.
+func (d *Daemon) drainAfter(ctx, runCtx context.Context) error {
 	select {
 	case <-ctx.Done():
-	case <-work.Done():
-		return work.Err()
+	case <-runCtx.Done():
+		return runCtx.Err()
 	}
-	d.base.Log().WithField("running", d.sidecar.Drain("")).Info("sidecar drains")
+	d.base.Log().WithField("running", d.sidecar.Drain("")).Info("sidecar is draining")
 	d.report()
-	return d.base.Finish(work, d.data, d.sidecar.Wait)
+	return d.base.FinishRequests(runCtx, d.data, d.sidecar.Wait)
 }
 
-func (d *Daemon) listed(instances []carawayspread.Instance) {
+func (d *Daemon) instancesChanged(instances []carawayspread.Instance) {
 	entries := watch.ControlAddresses(instances, carawayspread.InstanceEntry)
 	if old := d.entries.Swap(&entries); !slices.Equal(*old, entries) {
 		d.reporter.ForceFull()
@@ -109,7 +109,7 @@
 	d.sidecars.Store(int64(len(watch.ControlAddresses(instances, carawayspread.InstanceSidecar))))
 	for _, instance := range instances {
 		if instance.ID == d.base.Settings().ID() && instance.State == carawayspread.InstanceLeaving && !d.sidecar.Draining() {
-			d.base.Log().WithField("running", d.sidecar.Drain("")).Info("sidecar is listed as leaving and drains")
+			d.base.Log().WithField("running", d.sidecar.Drain("")).Info("sidecar is listed as leaving; draining")
 			d.report()
 		}
 	}
@@ -120,7 +120,7 @@
 		d.report()
 		select {
 		case <-d.base.Clock().After(report.Interval(int(d.sidecars.Load()), d.reporter.Bytes())):
-		case <-d.nudge:
+		case <-d.reportNow:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -131,12 +131,12 @@
 	next := d.reporter.Next(d.sidecar.Load(), d.base.Config().Held().Version(), d.sidecar.Draining())
 	err := d.reports.Send(next, *d.entries.Load())
 	if err != nil {
-		d.base.Log().WithError(err).Warn("report not sent")
+		d.base.Log().WithError(err).Warn("cannot send load report")
 	}
 }
 
-// Instance returns the daemon's row of the instance list, with the addresses
-// that are really open.
+// Instance returns the daemon's entry in the instance list, with the addresses on which it actually
+// listens.
 func (d *Daemon) Instance() carawayspread.Instance {
 	row := d.base.Settings().Instance()
 	row.Address = d.data.Address()
--- a/internal/daemon/sidecard/orders.go
+++ b/internal/daemon/sidecard/orders.go
@@ -14,12 +14,12 @@
 	"carawayspread/internal/version/settings"
 )
 
-// orderTimeout bounds the wait for one answer. The outcome of an order that
-// takes longer, as loading a model does, is read back from the engine's state.
+// orderTimeout limits the wait for the reply to an order. The outcome of an order that takes longer,
+// such as loading a model, is read from the state of the engine.
 const orderTimeout = 2 * time.Second
 
-// followers returns what carries out the plans, one for each service of the
-// model engines beside this sidecar.
+// followers returns the followers that execute the role plans, one for each model service that the
+// engines next to this sidecar belong to.
 func (d *Daemon) followers() []*planfollower.Follower {
 	byService := map[string]map[carawayspread.EndpointID]planfollower.Engine{}
 	for _, e := range d.base.Settings().Endpoints() {
@@ -29,7 +29,7 @@
 		if byService[e.Service()] == nil {
 			byService[e.Service()] = map[carawayspread.EndpointID]planfollower.Engine{}
 		}
-		byService[e.Service()][e.ID()] = d.orders(e)
+		byService[e.Service()][e.ID()] = d.newOrders(e)
 	}
 	list := []*planfollower.Follower{}
 	for service, engines := range byService {
@@ -38,12 +38,12 @@
 	return list
 }
 
-// orders returns what gives orders to one engine. Its lease is named after the
-// endpoint, so that a sidecar that is started anew follows the one before.
-func (d *Daemon) orders(e settings.Endpoint) *orders.Orders {
+// newOrders returns the sender of orders to one engine. Its lease is named after the endpoint, so that
+// a restarted sidecar contends for the same lease as its predecessor.
+func (d *Daemon) newOrders(e settings.Endpoint) *orders.Orders {
 	opts := []orders.Option{
 		orders.WithTimeout(orderTimeout),
-		orders.WithQuiet(func(ctx context.Context) (func(), error) { return d.quiet(ctx, e.ID()) }),
+		orders.WithQuiet(func(ctx context.Context) (func(), error) { return d.quiesce(ctx, e.ID()) }),
 	}
 	if e.OrderGuard() != "" {
 		opts = append(opts, orders.WithGuard(e.OrderGuard()))
@@ -52,27 +52,28 @@
 		opts = append(opts, orders.WithFence())
 	}
 	client := engine.New(e.Address(), &http.Client{})
-	held := lease.New(d.base.Table(), d.base.Clock(), "engine/"+string(e.ID()))
-	return orders.New(client, held, d.base.Clock(), opts...)
+	engineLease := lease.New(d.base.Table(), d.base.Clock(), "engine/"+string(e.ID()))
+	return orders.New(client, engineLease, d.base.Clock(), opts...)
 }
 
-// quiet empties an endpoint. Entries learn of it from refusals, which they send
-// elsewhere, and from the next report; that it is open again they are told at
-// once.
-func (d *Daemon) quiet(ctx context.Context, id carawayspread.EndpointID) (func(), error) {
+// quiesce waits until no request runs at an endpoint and refuses new ones. Entries learn of it from the
+// refusals, after which they send the requests to other endpoints, and from the next report. The
+// returned function ends it and reports that at once.
+func (d *Daemon) quiesce(ctx context.Context, id carawayspread.EndpointID) (func(), error) {
 	resume, err := d.sidecar.Quiesce(ctx, id)
 	if err != nil {
 		return nil, err
 	}
 	return func() {
 		resume()
-		d.askReport()
+		d.requestReport()
 	}, nil
 }
 
-func (d *Daemon) askReport() {
+// requestReport makes sendReports send a report without waiting for its interval.
+func (d *Daemon) requestReport() {
 	select {
-	case d.nudge <- struct{}{}:
+	case d.reportNow <- struct{}{}:
 	default:
 	}
 }
