--- a/internal/controller/leadership/leadership.go
+++ b/internal/controller/leadership/leadership.go
@@ -80,8 +80,8 @@
 // false while it is not held.
 func (l *Leadership) Check() (check carawayspread.Write, ok bool) { return l.lease.Check() }
 
-// Line starts a line of the log about an event of the leader.
-func (l *Leadership) Line(event string) *decisionlog.Line {
+// LogLine starts a line of the log about an event of the leader.
+func (l *Leadership) LogLine(event string) *decisionlog.Line {
 	return decisionlog.Start(event).Text("holder", l.instance).Int("fence", int64(l.Fence()))
 }
 
@@ -103,13 +103,13 @@
 	switch {
 	case holds && !held:
 		l.heldSince = now
-		l.log.Write(l.Line(l.event).Text("outcome", "held"))
+		l.log.Write(l.LogLine(l.event).Text("outcome", "held"))
 		l.set.GetOrCreateCounter(`gateway_takeovers_total{duty="` + l.event + `"}`).Inc()
 	case !holds && held:
-		l.log.Write(l.Line(l.event).Text("outcome", "lost"))
+		l.log.Write(l.LogLine(l.event).Text("outcome", "lost"))
 	case err != nil && !errors.Is(err, lease.ErrHeld):
 		l.tried = now.Add(retryEvery - renewEvery)
-		l.log.Write(l.Line(l.event).Text("error", err.Error()))
+		l.log.Write(l.LogLine(l.event).Text("error", err.Error()))
 	}
 	return holds && !held
 }
@@ -128,7 +128,7 @@
 
 // Resign drops the lease. The next holding has a higher fencing number.
 func (l *Leadership) Resign(ctx context.Context, why string) {
-	line := l.Line(l.event).Text("outcome", "resigned").Text("why", why)
+	line := l.LogLine(l.event).Text("outcome", "resigned").Text("why", why)
 	if err := l.lease.Release(ctx); err != nil {
 		line.Text("error", err.Error())
 	}
@@ -136,8 +136,8 @@
 	l.log.Write(line)
 }
 
-// Leave has a successor take over at once, unless the lease is held for a moment only.
-func (l *Leadership) Leave() {
+// ResignOnShutdown has a successor take over at once, unless the lease is held for a moment only.
+func (l *Leadership) ResignOnShutdown() {
 	if !l.Valid(0) || l.clock.Now().Sub(l.heldSince) < tenureLeast {
 		return
 	}
--- a/internal/controller/leadership/leadership_test.go
+++ b/internal/controller/leadership/leadership_test.go
@@ -66,7 +66,7 @@
 	qt.Assert(t, leader.Holds(), qt.IsTrue)
 	w.run(tenureLeast, leader, old)
 	later = true
-	leader.Leave()
+	leader.ResignOnShutdown()
 	qt.Check(t, leader.Fence(), qt.Equals, uint64(0))
 	w.run(seniority-100*time.Millisecond, newcomer)
 	qt.Check(t, newcomer.Holds(), qt.IsFalse)
@@ -100,7 +100,7 @@
 	leader, next := w.join("leader", &yes), w.join("next", &yes)
 	w.run(seniority+100*time.Millisecond, leader)
 	qt.Assert(t, leader.Holds(), qt.IsTrue)
-	leader.Leave()
+	leader.ResignOnShutdown()
 	w.run(term-100*time.Millisecond, next)
 	qt.Check(t, next.Holds(), qt.IsFalse)
 	w.run(2*term, next)
--- a/internal/controller/lease/lease.go
+++ b/internal/controller/lease/lease.go
@@ -74,8 +74,8 @@
 // WithTerm sets how long the lease lasts after a renewal.
 func WithTerm(term time.Duration) Option { return func(l *Lease) { l.term = term } }
 
-// WithSpread sets the source of the random part of waiting times.
-func WithSpread(spread func() float64) Option { return func(l *Lease) { l.spread = spread } }
+// WithJitter sets the source of the random part of waiting times.
+func WithJitter(spread func() float64) Option { return func(l *Lease) { l.spread = spread } }
 
 // New returns the lease kept under the partition. Nothing is held yet.
 func New(table carawayspread.Table, clock carawayspread.Clock, partition string, opts ...Option) *Lease {
--- a/internal/controller/lease/lease_test.go
+++ b/internal/controller/lease/lease_test.go
@@ -60,7 +60,7 @@
 }
 
 func newLease(s *store, clock carawayspread.Clock, partition string) *Lease {
-	return New(s, clock, partition, WithTerm(term), WithSpread(func() float64 { return 0 }))
+	return New(s, clock, partition, WithTerm(term), WithJitter(func() float64 { return 0 }))
 }
 
 // A holder is paused for longer than its term, a second process takes over, and
--- a/internal/controller/orderguard/guard.go
+++ b/internal/controller/orderguard/guard.go
@@ -52,8 +52,8 @@
 // Option sets an optional part of a Guard.
 type Option func(*Guard)
 
-// WithFlight sets how long a running engine may leave an order unread.
-func WithFlight(d time.Duration) Option { return func(g *Guard) { g.flight = d } }
+// WithMaxReadDelay sets how long a running engine may leave an order unread.
+func WithMaxReadDelay(d time.Duration) Option { return func(g *Guard) { g.flight = d } }
 
 // Acquire waits until no other process has the guard at that address.
 func Acquire(ctx context.Context, address string, clock carawayspread.Clock, opts ...Option) (*Guard, error) {
--- a/internal/controller/orders/orders.go
+++ b/internal/controller/orders/orders.go
@@ -35,16 +35,16 @@
 	Epoch() uint64
 }
 
-// Quiet stops new work at the engine, waits until none runs, and returns what
+// QuiesceFunc stops new work at the engine, waits until none runs, and returns what
 // admits work again.
-type Quiet func(ctx context.Context) (resume func(), err error)
+type QuiesceFunc func(ctx context.Context) (resume func(), err error)
 
 // Orders gives orders to one engine. It is safe for concurrent use.
 type Orders struct {
 	engine  carawayspread.Engine
 	lease   Lease
 	clock   carawayspread.Clock
-	quiet   Quiet
+	quiet   QuiesceFunc
 	guard   string // address; empty where the deployment has none
 	flight  []orderguard.Option
 	checks  bool // the engine checks fencing numbers
@@ -68,11 +68,11 @@
 	return func(o *Orders) { o.guard, o.flight = address, opts }
 }
 
-// WithFence says that the engine checks fencing numbers.
-func WithFence() Option { return func(o *Orders) { o.checks = true } }
+// WithFencing says that the engine checks fencing numbers.
+func WithFencing() Option { return func(o *Orders) { o.checks = true } }
 
-// WithQuiet sets what empties the engine before its role changes.
-func WithQuiet(quiet Quiet) Option { return func(o *Orders) { o.quiet = quiet } }
+// WithQuiesce sets what empties the engine before its role changes.
+func WithQuiesce(quiet QuiesceFunc) Option { return func(o *Orders) { o.quiet = quiet } }
 
 // WithTimeout bounds the wait for one answer of the engine.
 func WithTimeout(d time.Duration) Option { return func(o *Orders) { o.timeout = d } }
--- a/internal/controller/orders/orders_test.go
+++ b/internal/controller/orders/orders_test.go
@@ -192,7 +192,7 @@
 		return err
 	}
 	engine.onState = func() { qt.Check(t, late("0/b"), qt.IsNil) }
-	o := New(engine, &fakeLease{epoch: 2, valid: true}, instant{}, WithFence())
+	o := New(engine, &fakeLease{epoch: 2, valid: true}, instant{}, WithFencing())
 	state, err := o.Do(context.Background(), 1, load("1/a", "m"))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, engine.conflicts, qt.Equals, 0)
@@ -217,7 +217,7 @@
 		}
 		return note("resume"), nil
 	}
-	o := New(engine, &fakeLease{epoch: 1, valid: true}, instant{}, WithQuiet(quiet))
+	o := New(engine, &fakeLease{epoch: 1, valid: true}, instant{}, WithQuiesce(quiet))
 	_, err := o.Do(context.Background(), 1, role("1/a", carawayspread.RoleDecode))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, steps, qt.DeepEquals, []string{"quiet", "idle", "order", "resume"})
--- a/internal/controller/trial/claims.go
+++ b/internal/controller/trial/claims.go
@@ -52,11 +52,11 @@
 // Option sets an optional part of Claims.
 type Option func(*Claims)
 
-// Term sets how long a conviction lasts.
-func Term(d time.Duration) Option { return func(c *Claims) { c.term = d } }
+// Duration sets how long a conviction lasts.
+func Duration(d time.Duration) Option { return func(c *Claims) { c.term = d } }
 
-// Hold sets how long a claim lasts without a result.
-func Hold(d time.Duration) Option { return func(c *Claims) { c.hold = d } }
+// ClaimTimeout sets how long a claim lasts without a result.
+func ClaimTimeout(d time.Duration) Option { return func(c *Claims) { c.hold = d } }
 
 // New returns the claims of the process that has this unique name.
 func New(table carawayspread.Table, clock carawayspread.Clock, instance string, opts ...Option) *Claims {
--- a/internal/controller/usagereporter/reporter.go
+++ b/internal/controller/usagereporter/reporter.go
@@ -111,7 +111,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			r.leads.Leave()
+			r.leads.ResignOnShutdown()
 			return ctx.Err()
 		case <-r.deps.Clock.After(tickEvery*9/10 + rand.N(tickEvery/5)):
 		}
@@ -274,7 +274,7 @@
 }
 
 func (r *Reporter) line(window int64) *decisionlog.Line {
-	return r.leads.Line("usage").Int("window", window)
+	return r.leads.LogLine("usage").Int("window", window)
 }
 
 func (r *Reporter) count(outcome string) {
--- a/internal/daemon/sidecard/orders.go
+++ b/internal/daemon/sidecard/orders.go
@@ -43,13 +43,13 @@
 func (d *Daemon) orders(e settings.Endpoint) *orders.Orders {
 	opts := []orders.Option{
 		orders.WithTimeout(orderTimeout),
-		orders.WithQuiet(func(ctx context.Context) (func(), error) { return d.quiet(ctx, e.ID()) }),
+		orders.WithQuiesce(func(ctx context.Context) (func(), error) { return d.quiet(ctx, e.ID()) }),
 	}
 	if e.OrderGuard() != "" {
 		opts = append(opts, orders.WithGuard(e.OrderGuard()))
 	}
 	if e.ChecksFence() {
-		opts = append(opts, orders.WithFence())
+		opts = append(opts, orders.WithFencing())
 	}
 	client := engine.New(e.Address(), &http.Client{})
 	held := lease.New(d.base.Table(), d.base.Clock(), "engine/"+string(e.ID()))
