--- a/internal/controller/rolekeeper/keeper.go
+++ b/internal/controller/rolecontroller/controller.go
@@ -1,4 +1,4 @@
-// Package rolekeeper has engines change their roles where a policy wants it, from
+// Package rolecontroller has engines change their roles where a policy wants it, from
 // one process at a time.
 //
 // Every process plans by what it knows itself. The one that wants a change takes
@@ -7,7 +7,7 @@
 // successor waits for longer than the lease lasts, so that orders of two
 // processes are never close together; the number lets engines refuse a process
 // that was suspended in between.
-package rolekeeper
+package rolecontroller
 
 import (
 	"context"
@@ -45,8 +45,8 @@
 // partition is where the lease is kept.
 const partition = "roles"
 
-// Keeper is one process's side. Run is called once.
-type Keeper struct {
+// Controller is one process's side. Run is called once.
+type Controller struct {
 	source  carawayspread.RoleSource
 	policy  func() carawayspread.RolePolicy
 	engines func(carawayspread.Endpoint) carawayspread.Engine
@@ -62,15 +62,15 @@
 // New returns a keeper of the engines that the source knows.
 func New(source carawayspread.RoleSource, policy func() carawayspread.RolePolicy, table carawayspread.Table,
 	engines func(carawayspread.Endpoint) carawayspread.Engine, clock carawayspread.Clock, l *decisionlog.Log, set *metrics.Set,
-) *Keeper {
-	return &Keeper{
+) *Controller {
+	return &Controller{
 		source: source, policy: policy, engines: engines, clock: clock, log: l, set: set,
 		lease: lease.New(table, clock, partition, lease.WithTerm(term)), policies: map[string]carawayspread.RolePolicy{},
 	}
 }
 
 // Run plans until ctx ends.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Controller) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -81,7 +81,7 @@
 	}
 }
 
-func (k *Keeper) look(ctx context.Context) {
+func (k *Controller) look(ctx context.Context) {
 	for _, service := range k.source.Roles() {
 		policy := k.policies[service.Service]
 		if policy == nil {
@@ -98,7 +98,7 @@
 }
 
 // holds reports whether orders may be given now, and takes the lease for it.
-func (k *Keeper) holds(ctx context.Context) bool {
+func (k *Controller) holds(ctx context.Context) bool {
 	if k.lease.Valid(margin) {
 		return true
 	}
@@ -123,7 +123,7 @@
 
 // give sends one order. What becomes of one without an answer is not known: it
 // may be carried out later. The engine's entry shows it.
-func (k *Keeper) give(ctx context.Context, service carawayspread.ServiceRoles, change carawayspread.RoleChange) {
+func (k *Controller) give(ctx context.Context, service carawayspread.ServiceRoles, change carawayspread.RoleChange) {
 	endpoint, known := service.Endpoints[change.Endpoint]
 	if !known || !k.lease.Valid(margin) {
 		return
@@ -157,7 +157,7 @@
 // Failure: the number is behind, though the lease seems to hold. Symptom: every
 // order is refused, again and again, under the same number. The next holding has
 // a higher one.
-func (k *Keeper) giveUp(ctx context.Context) {
+func (k *Controller) giveUp(ctx context.Context) {
 	k.notUntil = k.clock.Now().Add(term)
 	if err := k.lease.Release(ctx); err != nil {
 		k.log.Write(decisionlog.Start("orderLease").Text("outcome", "given up").Text("error", err.Error()))
--- a/internal/controller/rolekeeper/keeper_test.go
+++ b/internal/controller/rolecontroller/controller_test.go
@@ -1,4 +1,4 @@
-package rolekeeper
+package rolecontroller
 
 import (
 	"context"
@@ -69,7 +69,7 @@
 }
 
 // keeper returns one process's side, and its lines.
-func (f *fleet) keeper() (*Keeper, *decisionlog.Log) {
+func (f *fleet) keeper() (*Controller, *decisionlog.Log) {
 	l := decisionlog.New(&f.out)
 	return New(f, func() carawayspread.RolePolicy { return f }, f.table,
 		func(carawayspread.Endpoint) carawayspread.Engine { return f }, f.clock, l, metrics.NewSet()), l
--- a/internal/daemon/gatewayd/daemon.go
+++ b/internal/daemon/gatewayd/daemon.go
@@ -22,7 +22,7 @@
 	"carawayspread/internal/connection/knowledge"
 	"carawayspread/internal/connection/peers"
 	"carawayspread/internal/connection/storetime"
-	"carawayspread/internal/controller/rolekeeper"
+	"carawayspread/internal/controller/rolecontroller"
 	"carawayspread/internal/daemon/server"
 	"carawayspread/internal/decision/clocksync"
 	"carawayspread/internal/decision/zonereader"
@@ -76,7 +76,7 @@
 	rota     *zonereader.Election
 	follower *follower.Follower
 	learner  *knowledge.Learner
-	keeper   *rolekeeper.Keeper // nil where no role changes
+	keeper   *rolecontroller.Controller // nil where no role changes
 	trueTime *clocksync.Clock
 	usage    *usageDuty // nil where no usage is reported
 	listed   atomic.Bool
@@ -209,7 +209,7 @@
 		return
 	}
 	env := carawayspread.Environment{Clock: d.clock, Zone: d.settings.Zone()}
-	d.keeper = rolekeeper.New(source, func() carawayspread.RolePolicy { return policy(env) },
+	d.keeper = rolecontroller.New(source, func() carawayspread.RolePolicy { return policy(env) },
 		ports.Table, ports.Engine, d.clock, d.lines, d.gateway.Metrics())
 }
 
