--- a/internal/controller/lease/doc.go
+++ b/internal/controller/lease/doc.go
@@ -1,17 +1,17 @@
-// Package lease keeps a lease in the platform's table service.
+// Package lease implements a lease that is stored in the platform's table service.
 //
-// The record has two items. One is written with every renewal; the other only
-// when the lease passes on, so that its revision is the epoch: a fencing number
-// that grows with every holder, and a condition that a transaction can check
-// without meeting renewals.
+// A lease consists of two items. The holder item is written with every renewal. The epoch item is
+// written only when the lease is acquired, so that its revision is the epoch: a fencing token that
+// increases with every acquisition, and a condition that a transaction can check without
+// conflicting with renewals.
 //
-// No two clocks are compared. The holder counts the term from before it sent
-// the renewal that succeeded; a successor counts the term, and driftPart of it
-// more, from after it first read the record that has not changed since. The
-// renewal took effect between the two moments, so the holder stops first as
-// long as the rates of two clocks differ by less than one part in driftPart.
+// Clocks of different processes are never compared. The holder measures the term from before it
+// sent the last successful renewal. A successor measures the term plus 1/driftDivisor of it from
+// after it first read the holder item that has not changed since. The renewal took effect between
+// these two moments, so the holder stops first as long as the rates of the two clocks differ by
+// less than 1/driftDivisor.
 //
-// A lease bounds how long two processes can both believe that they hold it. It
-// cannot stop a process that is paused between the check and what it checked
-// for; that is left to the fencing number and the order guard.
+// A lease bounds for how long two processes can both consider themselves its holder. It cannot
+// stop a process that is paused between the check and the guarded action; the fencing token and
+// the order guard cover that case.
 package lease
--- a/internal/controller/lease/lease.go
+++ b/internal/controller/lease/lease.go
@@ -11,73 +11,73 @@
 )
 
 const (
-	defaultTerm = 9 * time.Second
-	driftPart   = 50 // clock rates may differ by 2%
-	sortHolder  = "holder"
-	sortEpoch   = "epoch"
-	// othersPart is the part of the term by which others leave a lease to its last holder
-	// after a table came back from an older copy.
-	othersPart = 2
-	// generationStep is more than the tenures that can begin in the time that a table
-	// loses when it comes back from an older copy: a quarter of an hour of one a second.
+	defaultTerm  = 9 * time.Second
+	driftDivisor = 50 // clock rates may differ by 2%
+	sortHolder   = "holder"
+	sortEpoch    = "epoch"
+	// restoreGraceDivisor sets the fraction of the term by which other processes wait longer than
+	// the last holder before they acquire the lease after a restore of the table.
+	restoreGraceDivisor = 2
+	// generationStep exceeds the number of tenures that can begin in the period that a restore of
+	// the table loses: 15 minutes with one tenure per second.
 	generationStep = 1024
 )
 
-// errRestored says that the table came back from an older copy meanwhile, so that what
-// was written may be gone.
-var errRestored = errors.New("the table came back from an older copy")
+// errRestored is returned when the table was restored from a backup during an acquisition, so that
+// the write may be lost.
+var errRestored = errors.New("the table was restored from a backup")
 
-// ErrHeld says that another process holds the lease, or may hold it.
+// ErrHeld is returned when another process holds the lease or may hold it.
 var ErrHeld = errors.New("lease held by another process")
 
-// Lease is one process's side of a lease. Try is called by one goroutine;
-// Valid, Epoch and Check are safe for concurrent use.
+// Lease is the handle of one process on a lease. Try and Release must be called by one goroutine at
+// a time; Valid, Epoch and Check are safe for concurrent use.
 type Lease struct {
 	table     carawayspread.Table
 	clock     carawayspread.Clock
 	partition string
-	holder    string // unique to this process, never reused
+	holder    string // unique id of this process, never reused
 	term      time.Duration
-	spread    func() float64 // in [0, 1)
-
-	held atomic.Pointer[tenure] // nil while not held
-	seen sighting               // what a successor last saw; used by Try alone
-
-	// hasMet says that the table has answered, generation is its own as Try last looked, and
-	// restored when that grew; zero where this process has met one alone that may be the
-	// first.
-	hasMet     bool
-	generation uint64
-	restored   time.Time
-	settling   time.Duration // for how long after that the lease is left alone
-	wasHolder  bool          // this process held it when the table came back
+	jitter    func() float64 // in [0, 1)
+
+	held     atomic.Pointer[tenure] // nil while not held
+	lastSeen observation            // of another holder; used by Try only
+
+	// tableSeen records whether the table has responded. generation is the table generation that Try
+	// last observed. restoredAt is when a restore was last detected; zero while this process has
+	// seen only a generation that may be the first one.
+	tableSeen   bool
+	generation  uint64
+	restoredAt  time.Time
+	restoreWait time.Duration // after restoredAt; the lease is not acquired during it
+	wasHolder   bool          // this process held the lease at the restore
 }
 
-// tenure is one holding of the lease; immutable.
+// tenure is one period in which this process holds the lease; immutable.
 type tenure struct {
-	epoch uint64 // the revision of the epoch item while it lasts
-	// generation is that of the table in which the tenure was written.
+	epoch uint64 // revision of the epoch item
+	// generation is the table generation in which the tenure was written.
 	generation uint64
-	rev        uint64    // the newest known revision of the holder item
-	since      time.Time // before the last write that succeeded was sent
+	rev        uint64    // newest known revision of the holder item
+	since      time.Time // before the last successful write was sent
 }
 
-// sighting is a revision of the holder item and when it was first read.
-type sighting struct {
-	rev uint64 // zero when nothing was seen
+// observation is a revision of the holder item and the time when it was first read.
+type observation struct {
+	rev uint64 // zero if none was read
 	at  time.Time
 }
 
-// Option sets an optional part of a Lease.
+// Option configures a Lease.
 type Option func(*Lease)
 
-// WithTerm sets how long the lease lasts after a renewal.
+// WithTerm sets how long the lease is valid after a renewal.
 func WithTerm(term time.Duration) Option { return func(l *Lease) { l.term = term } }
 
-// WithJitter sets the source of the random part of waiting times.
-func WithJitter(spread func() float64) Option { return func(l *Lease) { l.spread = spread } }
+// WithJitter sets the source of the random part of renewal delays, in [0, 1).
+func WithJitter(jitter func() float64) Option { return func(l *Lease) { l.jitter = jitter } }
 
-// New returns the lease kept under the partition. Nothing is held yet.
+// New returns a handle on the lease that is stored under the partition. It is not held yet.
 func New(table carawayspread.Table, clock carawayspread.Clock, partition string, opts ...Option) *Lease {
 	l := &Lease{
 		table:     table,
@@ -85,7 +85,7 @@
 		partition: partition,
 		holder:    uuid.NewString(),
 		term:      defaultTerm,
-		spread:    defaultSpread,
+		jitter:    defaultJitter,
 	}
 	for _, opt := range opts {
 		opt(l)
@@ -93,17 +93,16 @@
 	return l
 }
 
-// Valid reports whether the lease is held now and for the margin to come.
+// Valid reports whether the lease is held now and will be for the margin.
 func (l *Lease) Valid(margin time.Duration) bool {
 	t := l.held.Load()
 	return t != nil && t.generation == l.tableGeneration() && elapsed(t.since, l.clock.Now())+margin < l.term
 }
 
-// Epoch returns the fencing number of the tenure that began last; zero while
-// the lease is not held.
+// Epoch returns the fencing token of the current tenure; zero while the lease is not held.
 //
-// A table that comes back from an older copy gives the epochs of the lost seconds out
-// again. Its generation raises the number by more than there can be of those.
+// A table that was restored from a backup assigns the epochs of the lost period again. Its
+// generation is therefore added, multiplied by more than the number of epochs that can be lost.
 func (l *Lease) Epoch() uint64 {
 	if t := l.held.Load(); t != nil {
 		return t.epoch + t.generation*generationStep
@@ -111,8 +110,8 @@
 	return 0
 }
 
-// tableGeneration returns how often the table came back from an older copy; zero where
-// it does not.
+// tableGeneration returns the restore generation of the table; zero if the table is not
+// Restorable.
 func (l *Lease) tableGeneration() uint64 {
 	if table, ok := l.table.(carawayspread.Restorable); ok {
 		return table.Generation()
@@ -120,8 +119,8 @@
 	return 0
 }
 
-// Check returns the condition that the lease has not passed on, for use in a
-// transaction; ok is false while the lease is not held.
+// Check returns a transaction condition that fails once another tenure has begun. ok is false
+// while the lease is not held.
 func (l *Lease) Check() (check carawayspread.Write, ok bool) {
 	t := l.held.Load()
 	if t == nil {
@@ -131,12 +130,12 @@
 	return carawayspread.Write{Item: item, IfRev: t.epoch, CheckOnly: true}, true
 }
 
-// elapsed returns how much time has passed for the holder.
+// elapsed returns the time that has passed for the holder: the larger of the monotonic and the
+// wall clock difference.
 //
-// Failure: the instance is suspended and its monotonic clock with it. Symptom:
-// the holder wakes and counts on from where it stopped while a successor works.
-// The wall clock shows the gap; a wall clock that is set forward only ends the
-// lease early.
+// When the instance is suspended, its monotonic clock stops. With that clock alone the holder would
+// resume its term after the suspension, while a successor is already active. The wall clock
+// shows the gap; if it is set forward, the lease only ends early.
 func elapsed(since, now time.Time) time.Duration {
 	return max(now.Sub(since), now.Round(0).Sub(since.Round(0)))
 }
--- a/internal/controller/lease/lease_test.go
+++ b/internal/controller/lease/lease_test.go
@@ -19,7 +19,7 @@
 )
 
 func TestMain(m *testing.M) {
-	// The same schedules on every run, and no files left behind.
+	// Runs the same schedules every time and writes no failure files.
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
 	os.Exit(m.Run())
@@ -27,48 +27,46 @@
 
 const term = 9 * time.Second
 
-// store is the table with a hook that runs once, between the effect of a write
-// and its answer.
+// store wraps the table with a hook that runs once, after a write took effect and before it returns.
 type store struct {
 	carawayspread.Table
-	service *table.Table
-	during  func()
-	unread  error // what reads fail with
+	service     *table.Table
+	beforeReply func()
+	readErr     error // error of all reads
 }
 
 func (s *store) Get(ctx context.Context, key carawayspread.Key) (carawayspread.Item, error) {
-	if s.unread != nil {
-		return carawayspread.Item{}, s.unread
+	if s.readErr != nil {
+		return carawayspread.Item{}, s.readErr
 	}
 	return s.Table.Get(ctx, key)
 }
 
 func (s *store) Apply(ctx context.Context, writes ...carawayspread.Write) error {
-	during := s.during
-	s.during = func() {}
+	beforeReply := s.beforeReply
+	s.beforeReply = func() {}
 	err := s.Table.Apply(ctx, writes...)
-	during()
+	beforeReply()
 	return err
 }
 
-func start(t testing.TB) (*store, *clockwork.FakeClock) {
+func newStore(t testing.TB) (*store, *clockwork.FakeClock) {
 	service := table.New(carawayspread.SystemClock())
 	server := httptest.NewServer(service)
 	client := dynamodb.New(server.URL)
 	t.Cleanup(func() { client.Close(); server.Close() })
-	return &store{Table: client, service: service, during: func() {}}, clockwork.NewFakeClock()
+	return &store{Table: client, service: service, beforeReply: func() {}}, clockwork.NewFakeClock()
 }
 
 func newLease(s *store, clock carawayspread.Clock, partition string) *Lease {
 	return New(s, clock, partition, WithTerm(term), WithJitter(func() float64 { return 0 }))
 }
 
-// A holder is paused for longer than its term, a second process takes over, and
-// the first one wakes. The caller of the first must see at once, without the
-// store, that it holds nothing; what it still writes under its old check must
-// fail; and its next renewal tells it who lost.
+// A holder is paused for longer than its term, a second process acquires the lease, and the first
+// one resumes. Valid must report false at once without a call to the table, a transaction with the
+// old check must fail, and the next renewal must return ErrHeld.
 func TestPausedHolderHasLost(t *testing.T) {
-	s, clock := start(t)
+	s, clock := newStore(t)
 	ctx := context.Background()
 	paused, successor := newLease(s, clock, "p"), newLease(s, clock, "p")
 	qt.Assert(t, paused.Try(ctx), qt.IsNil)
@@ -76,8 +74,8 @@
 	qt.Assert(t, successor.Try(ctx), qt.Equals, ErrHeld)
 	clock.Advance(term)
 	qt.Check(t, paused.Valid(0), qt.IsFalse)
-	qt.Check(t, successor.Try(ctx), qt.Equals, ErrHeld, qt.Commentf("the drift is not waited for"))
-	clock.Advance(term / driftPart)
+	qt.Check(t, successor.Try(ctx), qt.Equals, ErrHeld, qt.Commentf("acquired without waiting for the clock drift"))
+	clock.Advance(term / driftDivisor)
 	qt.Assert(t, successor.Try(ctx), qt.IsNil)
 
 	qt.Check(t, successor.Epoch(), qt.Equals, uint64(2))
@@ -86,27 +84,26 @@
 	qt.Check(t, paused.Epoch(), qt.Equals, uint64(0))
 }
 
-// A renewal takes a whole term to be answered, as from a slow store. A
-// successor may have counted from the moment of the write, so the holder must
-// count from before it sent, and finds its lease ended when the answer comes.
+// The response to a renewal takes a whole term, as from a slow table. A successor may have measured
+// the term from the time of the write, so the holder must measure it from before it sent the
+// renewal, and the lease has expired when the response arrives.
 func TestTermCountsFromBeforeTheRenewal(t *testing.T) {
-	s, clock := start(t)
+	s, clock := newStore(t)
 	ctx := context.Background()
 	l := newLease(s, clock, "p")
 	qt.Assert(t, l.Try(ctx), qt.IsNil)
-	s.during = func() { clock.Advance(term) }
+	s.beforeReply = func() { clock.Advance(term) }
 	qt.Assert(t, l.Try(ctx), qt.IsNil)
 	qt.Check(t, l.Valid(0), qt.IsFalse)
 }
 
-// The write takes effect and its answer is lost. Without the read-back the
-// record names a holder that believes it holds nothing, and nobody gives
-// orders for a whole term.
+// A write takes effect and its response is lost. Without the read-back the record names a holder that
+// does not consider itself one, and nobody can act for a whole term.
 func TestLostAnswerIsReadBack(t *testing.T) {
 	tests := map[string]int{"acquisition": 0, "renewal": 1}
 	for name, before := range tests {
 		t.Run(name, func(t *testing.T) {
-			s, clock := start(t)
+			s, clock := newStore(t)
 			l := newLease(s, clock, "p")
 			for range before {
 				qt.Assert(t, l.Try(context.Background()), qt.IsNil)
@@ -120,19 +117,19 @@
 	}
 }
 
-// The answer to a renewal is lost and cannot be read back. The next renewal
-// meets the first one's revision: the lease is still held, but a successor may
-// have counted from the first write, so the term must not start again.
-func TestLateReadBackDoesNotProlong(t *testing.T) {
-	s, clock := start(t)
+// The response to a renewal is lost and the read-back fails. The next renewal finds the revision of
+// the first one: the lease is still held, but a successor may have measured the term from the first
+// write, so the term must not be extended.
+func TestLateReadBackDoesNotExtendTerm(t *testing.T) {
+	s, clock := newStore(t)
 	ctx := context.Background()
 	l := newLease(s, clock, "p")
 	qt.Assert(t, l.Try(ctx), qt.IsNil)
 	clock.Advance(term / 2)
 	s.service.LoseAnswers(1)
-	s.unread = errors.New("read failed")
+	s.readErr = errors.New("read failed")
 	qt.Assert(t, l.Try(ctx), qt.IsNotNil)
-	s.unread = nil
+	s.readErr = nil
 	clock.Advance(term / 4)
 	qt.Check(t, l.Try(ctx), qt.ErrorIs, carawayspread.ErrCondition)
 	qt.Check(t, l.Valid(0), qt.IsTrue)
@@ -140,11 +137,11 @@
 	qt.Check(t, l.Valid(0), qt.IsFalse)
 }
 
-// Random schedules of three processes, each of which may be slow in a write,
-// lose its answer or meet a store that is down. At no moment may two of them
-// hold a valid lease, and no epoch may have two holders.
+// Runs random schedules of three processes, in which writes are slow, responses are lost and the
+// table is down. Two processes must never hold a valid lease at the same time, and no epoch may have
+// two holders.
 func TestNeverTwoValidHolders(t *testing.T) {
-	s, clock := start(t)
+	s, clock := newStore(t)
 	rapid.Check(t, func(rt *rapid.T) {
 		s.service.Clear()
 		partition := rapid.StringMatching("[a-z]{16}").Draw(rt, "partition")
@@ -154,10 +151,10 @@
 			"try": func(rt *rapid.T) {
 				slow := rapid.SampledFrom([]time.Duration{0, term / 2, 2 * term}).Draw(rt, "slow")
 				process := rapid.IntRange(0, 2).Draw(rt, "process")
-				meanwhile := leases[(process+1)%3] // a Lease is tried by one goroutine
-				s.during = func() {
-					if meanwhile.held.Load() == nil {
-						_ = meanwhile.acquire(context.Background())
+				contender := leases[(process+1)%3] // not the process that is in Try
+				s.beforeReply = func() {
+					if contender.held.Load() == nil {
+						_ = contender.acquire(context.Background())
 					}
 					clock.Advance(slow)
 				}
@@ -167,7 +164,7 @@
 				_ = leases[rapid.IntRange(0, 2).Draw(rt, "process")].Release(context.Background())
 			},
 			"wait": func(rt *rapid.T) {
-				clock.Advance(rapid.SampledFrom([]time.Duration{term / 4, term, term + term/driftPart}).Draw(rt, "time"))
+				clock.Advance(rapid.SampledFrom([]time.Duration{term / 4, term, term + term/driftDivisor}).Draw(rt, "time"))
 			},
 			"lose": func(*rapid.T) { s.service.LoseAnswers(1) },
 			"down": func(rt *rapid.T) { s.service.SetDown(rapid.Bool().Draw(rt, "down")) },
--- a/internal/controller/lease/run.go
+++ b/internal/controller/lease/run.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	renewPart  = 3 // a renewal may fail twice before the term ends
-	spreadPart = 4 // the random part of a waiting time, at most
-	// releaseTimeout bounds the release at the end; without it the successor
-	// waits for the term.
+	renewDivisor  = 3 // two renewals may fail before the term ends
+	jitterDivisor = 4 // maximum random fraction of a renewal delay
+	// releaseTimeout bounds the release on shutdown. If the release fails, a successor waits for
+	// the term.
 	releaseTimeout = time.Second
 )
 
-func defaultSpread() float64 { return rand.Float64() }
+func defaultJitter() float64 { return rand.Float64() }
 
-func (e entry) term() time.Duration { return time.Duration(e.TermMs) * time.Millisecond }
+func (e leaseRecord) term() time.Duration { return time.Duration(e.TermMs) * time.Millisecond }
 
-// Run acquires and renews until ctx ends, and then releases. Waiting times are
-// spread, so that processes that start together do not write together.
+// Run acquires and renews the lease until ctx ends and then releases it. Delays have jitter, so that
+// processes that start together do not write at the same time.
 func (l *Lease) Run(ctx context.Context) error {
 	for {
 		_ = l.Try(ctx)
 		select {
-		case <-l.clock.After(l.pause()):
+		case <-l.clock.After(l.renewDelay()):
 		case <-ctx.Done():
 			release, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 			defer cancel()
@@ -33,7 +33,7 @@
 	}
 }
 
-func (l *Lease) pause() time.Duration {
-	base := l.term / renewPart
-	return base - time.Duration(l.spread()*float64(base)/spreadPart)
+func (l *Lease) renewDelay() time.Duration {
+	base := l.term / renewDivisor
+	return base - time.Duration(l.jitter()*float64(base)/jitterDivisor)
 }
--- a/internal/controller/lease/try.go
+++ b/internal/controller/lease/try.go
@@ -11,16 +11,16 @@
 	"carawayspread"
 )
 
-// entry is the body of both items.
-type entry struct {
+// leaseRecord is the body of both items.
+type leaseRecord struct {
 	Holder string `json:"holder"` // empty after a release
 	Epoch  uint64 `json:"epoch"`
-	TermMs int64  `json:"termMs"` // how long the holder counts on it
+	TermMs int64  `json:"termMs"` // how long the holder considers it valid
 }
 
-// Try renews the lease, or acquires it where that is due. It returns ErrHeld
-// while another process may hold it; any other error leaves the outcome of the
-// write unknown, and the lease as valid as it was before.
+// Try renews the lease if it is held and otherwise tries to acquire it. It returns ErrHeld while
+// another process may hold it. After any other error the outcome of the write is unknown and the
+// validity of the lease has not changed.
 func (l *Lease) Try(ctx context.Context) error {
 	if t := l.held.Load(); t != nil {
 		return l.renew(ctx, t)
@@ -28,46 +28,47 @@
 	return l.acquire(ctx)
 }
 
-// observeGeneration takes note of a new generation of the table. The tenure that was written in the
-// one before may be gone from the table, and is dropped.
+// observeGeneration records a new generation of the table and drops the tenure that was written in
+// the generation before, which the restore may have removed from the table.
 //
-// Failure: the record of a holder is gone, and the one in its place is free or has the
-// revision that the holder last wrote. Symptom: two processes hold the lease. Both wait
-// out a term from when they see the new generation: the one acts no more by then, and
-// the other's record has been seen for as long as any.
+// A restore may remove the record of a holder and leave one that is free or has the revision that
+// the holder last wrote, so that two processes would hold the lease. Therefore every process waits
+// for a term after it has seen the new generation: a former holder has stopped acting by then, and
+// any other holder's record has been observed for a full term.
 func (l *Lease) observeGeneration() (changed bool) {
 	generation := l.tableGeneration()
-	if l.hasMet && generation == l.generation {
+	if l.tableSeen && generation == l.generation {
 		return false
 	}
-	changed = l.hasMet || generation > 1
-	l.hasMet, l.generation = true, generation
+	changed = l.tableSeen || generation > 1
+	l.tableSeen, l.generation = true, generation
 	if changed {
-		l.restored, l.seen = l.clock.Now(), sighting{} // its revision is given out again
-		l.settling = l.term + l.term/driftPart
+		l.restoredAt, l.lastSeen = l.clock.Now(), observation{} // its revision may be assigned again
+		l.restoreWait = l.term + l.term/driftDivisor
 		if l.held.Swap(nil) != nil {
 			l.wasHolder = true
 		}
 		if !l.wasHolder {
-			l.settling += l.term / othersPart
+			l.restoreWait += l.term / restoreGraceDivisor
 		}
 	}
 	return changed
 }
 
-// isSettling reports whether a tenure that is gone from the table may still be acted on, or
-// whether its holder, which alone knows what was written under it, comes first.
-func (l *Lease) isSettling() bool {
-	return !l.restored.IsZero() && l.clock.Now().Sub(l.restored) < l.settling
+// inRestoreWait reports whether acquisition is blocked after a restore: a holder may still act on a
+// tenure that the restore removed, or the last holder, the only one that knows what was written
+// under it, has precedence.
+func (l *Lease) inRestoreWait() bool {
+	return !l.restoredAt.IsZero() && l.clock.Now().Sub(l.restoredAt) < l.restoreWait
 }
 
-// Release gives the lease up at once, so that a successor need not wait.
+// Release releases the lease, so that a successor need not wait for the term to end.
 func (l *Lease) Release(ctx context.Context) error {
 	t := l.held.Swap(nil)
 	if t == nil {
 		return nil
 	}
-	write, err := l.write(sortHolder, t.rev, entry{Epoch: t.epoch})
+	write, err := l.write(sortHolder, t.rev, leaseRecord{Epoch: t.epoch})
 	if err != nil {
 		return err
 	}
@@ -75,17 +76,17 @@
 }
 
 func (l *Lease) renew(ctx context.Context, t *tenure) error {
-	write, err := l.write(sortHolder, t.rev, entry{Holder: l.holder, Epoch: t.epoch, TermMs: l.term.Milliseconds()})
+	write, err := l.write(sortHolder, t.rev, leaseRecord{Holder: l.holder, Epoch: t.epoch, TermMs: l.term.Milliseconds()})
 	if err != nil {
 		return err
 	}
-	sent := l.clock.Now()
+	sentAt := l.clock.Now()
 	err = l.table.Apply(ctx, write)
 	if l.observeGeneration() {
 		return ErrHeld
 	}
 	if err == nil {
-		l.held.Store(&tenure{epoch: t.epoch, generation: t.generation, rev: t.rev + 1, since: sent})
+		l.held.Store(&tenure{epoch: t.epoch, generation: t.generation, rev: t.rev + 1, since: sentAt})
 		return nil
 	}
 	item, record, readErr := l.read(ctx)
@@ -98,11 +99,11 @@
 		l.held.Store(nil)
 		return ErrHeld
 	case item.Token == write.Item.Token:
-		l.held.Store(&tenure{epoch: t.epoch, generation: t.generation, rev: item.Rev, since: sent})
+		l.held.Store(&tenure{epoch: t.epoch, generation: t.generation, rev: item.Rev, since: sentAt})
 		return nil
 	}
-	// An earlier write of ours may have arrived late. When it was sent is no
-	// longer known, so the term goes on from the last one that is.
+	// An earlier write of this process took effect late. Its send time is no longer known, so
+	// the term still counts from the last known one.
 	l.held.Store(&tenure{epoch: t.epoch, generation: t.generation, rev: item.Rev, since: t.since})
 	return trace.Wrap(err)
 }
@@ -113,11 +114,11 @@
 		return err
 	}
 	l.observeGeneration()
-	if l.isSettling() || !l.vacant(item, record) {
+	if l.inRestoreWait() || !l.vacant(item, record) {
 		return ErrHeld
 	}
 	generation := l.generation
-	next := entry{Holder: l.holder, Epoch: record.Epoch + 1, TermMs: l.term.Milliseconds()}
+	next := leaseRecord{Holder: l.holder, Epoch: record.Epoch + 1, TermMs: l.term.Milliseconds()}
 	holder, err := l.write(sortHolder, item.Rev, next)
 	if err != nil {
 		return err
@@ -126,10 +127,10 @@
 	if err != nil {
 		return err
 	}
-	sent := l.clock.Now()
+	sentAt := l.clock.Now()
 	err = l.table.Apply(ctx, holder, epoch)
 	if err != nil {
-		err = l.settle(ctx, holder.Item.Token, err)
+		err = l.resolve(ctx, holder.Item.Token, err)
 	}
 	if err != nil {
 		return err
@@ -137,16 +138,17 @@
 	if l.observeGeneration() || l.generation != generation {
 		return trace.Wrap(errRestored)
 	}
-	l.held.Store(&tenure{epoch: next.Epoch, generation: generation, rev: item.Rev + 1, since: sent})
+	l.held.Store(&tenure{epoch: next.Epoch, generation: generation, rev: item.Rev + 1, since: sentAt})
 	l.wasHolder = false // until the next restore
 	return nil
 }
 
-// settle finds out what became of an acquisition that did not succeed openly.
+// resolve reads back the outcome of an acquisition that returned an error. The token identifies the
+// write.
 //
-// Failure: the answer is lost after the write took effect. Symptom: nobody
-// holds the lease for a whole term. The token shows whose write it was.
-func (l *Lease) settle(ctx context.Context, token string, err error) error {
+// If the response is lost after the write took effect, nobody would hold the lease for a whole term
+// without the read-back.
+func (l *Lease) resolve(ctx context.Context, token string, err error) error {
 	item, _, readErr := l.read(ctx)
 	switch {
 	case readErr != nil:
@@ -159,24 +161,24 @@
 	return trace.Wrap(err)
 }
 
-// vacant reports whether the record may be taken over: it is free, released,
-// left by an acquisition of this process whose answer was lost, or has been
-// seen unchanged for longer than its holder counts on it.
-func (l *Lease) vacant(item carawayspread.Item, record entry) bool {
+// vacant reports whether the lease may be acquired: it was never held, it was released, this
+// process acquired it in a write whose response was lost, or its record has been unchanged for
+// longer than its holder considers it valid.
+func (l *Lease) vacant(item carawayspread.Item, record leaseRecord) bool {
 	if record.Holder == "" || record.Holder == l.holder {
 		return true
 	}
 	now := l.clock.Now()
-	if l.seen.rev != item.Rev {
-		l.seen = sighting{rev: item.Rev, at: now}
+	if l.lastSeen.rev != item.Rev {
+		l.lastSeen = observation{rev: item.Rev, at: now}
 	}
 	term := record.term()
-	return now.Sub(l.seen.at) >= term+term/driftPart
+	return now.Sub(l.lastSeen.at) >= term+term/driftDivisor
 }
 
-// read returns the holder item; a zero item and entry where there is none.
-func (l *Lease) read(ctx context.Context) (carawayspread.Item, entry, error) {
-	var record entry
+// read returns the holder item and its record; both are zero if there is none.
+func (l *Lease) read(ctx context.Context) (carawayspread.Item, leaseRecord, error) {
+	var record leaseRecord
 	item, err := l.table.Get(ctx, l.key(sortHolder))
 	if errors.Is(err, carawayspread.ErrNoItem) {
 		return carawayspread.Item{}, record, nil
@@ -187,7 +189,7 @@
 	return item, record, trace.Wrap(json.Unmarshal(item.Body, &record))
 }
 
-func (l *Lease) write(sort string, ifRev uint64, record entry) (carawayspread.Write, error) {
+func (l *Lease) write(sort string, ifRev uint64, record leaseRecord) (carawayspread.Write, error) {
 	body, err := json.Marshal(record)
 	item := carawayspread.Item{Key: l.key(sort), Token: uuid.NewString(), Body: body}
 	return carawayspread.Write{Item: item, IfRev: ifRev}, trace.Wrap(err)
