--- a/internal/controller/leadership/leadership.go
+++ b/internal/controller/leadership/leadership.go
@@ -1,8 +1,8 @@
-// Package leadership keeps one process at a time in a duty, by a lease that it renews.
+// Package leadership elects one process as the leader for a task by means of a renewed lease.
 //
-// Candidates come and go with what peers say of each other. The lease settles which of
-// them leads; its epoch is the fencing number of what the leader does. It is counted by a
-// clock that goes on while the machine is suspended.
+// Which processes are candidates depends on the status that peers report and changes at any time.
+// The lease decides which candidate leads; its epoch is the fencing token of the leader's actions.
+// The lease term is measured with a clock that continues while the instance is suspended.
 package leadership
 
 import (
@@ -19,29 +19,29 @@
 )
 
 const (
-	// term is how long the lease lasts without a renewal.
+	// term is how long the lease is valid without a renewal.
 	term = 4 * time.Second
-	// renewEvery leaves two renewals that may fail within the term, and retryEvery is
-	// the time after one that did.
+	// renewEvery is the renewal interval; two renewals may fail within the term. retryEvery is the
+	// delay after a failed one.
 	renewEvery = 1200 * time.Millisecond
 	retryEvery = 400 * time.Millisecond
-	// callTimeout bounds one call to the table.
+	// callTimeout bounds one call to the lease.
 	callTimeout = 800 * time.Millisecond
-	// seniority is how long a process is a candidate before it tries for the lease: one
-	// that has been for longer knows more of what processes did that are gone.
-	seniority = 3 * time.Second
-	// absence is how long it may be none without starting anew: an outage of the table
-	// makes candidates of others for a while.
-	absence = 10 * time.Second
-	// tenureLeast is how long the lease is held before it is given up to a successor, so
-	// that leaders do not take turns quickly.
-	tenureLeast = 3 * time.Second
+	// minCandidacy is how long a process must be a candidate before it tries to acquire the lease: a
+	// longer-standing candidate knows more of what processes did that have since ended.
+	minCandidacy = 3 * time.Second
+	// maxCandidacyGap is how long a process may stop being a candidate without restarting that
+	// period: during an outage of the table other processes become candidates for a while.
+	maxCandidacyGap = 10 * time.Second
+	// minTenure is how long a leader holds the lease before it resigns on shutdown. It prevents
+	// rapid changes of the leader.
+	minTenure = 3 * time.Second
 )
 
-// Leadership is one process's side. Renew, Resign and Leave are called by one goroutine;
-// the others are safe for concurrent use.
+// Leadership is the participation of one process in the election. Renew, Resign and
+// ResignOnShutdown must be called by one goroutine; the other methods are safe for concurrent use.
 type Leadership struct {
-	event     string // of its lines in the log
+	event     string // name of the log lines
 	instance  string
 	lease     *lease.Lease
 	candidate func() bool
@@ -51,13 +51,13 @@
 	holds     atomic.Bool
 
 	candidateSince time.Time
-	candidateLast  time.Time // zero for never
+	lastCandidate  time.Time // zero if it never was one
 	heldSince      time.Time
-	tried          time.Time // the last renewal
+	lastTry        time.Time // time of the last renewal or acquisition attempt; set ahead to schedule a retry
 }
 
-// New returns the side of the instance for the duty whose lease is kept under the
-// partition. Its lines in the log bear the event's name.
+// New returns the participation of the instance in the election whose lease is stored under the
+// partition. Its log lines have the event as their name.
 func New(event, instance, partition string, table carawayspread.Table, candidate func() bool,
 	uptime carawayspread.Uptime, clock carawayspread.Clock, l *decisionlog.Log, set *metrics.Set,
 ) *Leadership {
@@ -67,34 +67,35 @@
 	}
 }
 
-// Holds reports whether this process may hold the lease.
+// Holds reports whether this process held the lease at the last call of Renew or Resign.
 func (l *Leadership) Holds() bool { return l.holds.Load() }
 
-// Valid reports whether the lease is held now and for the margin to come.
+// Valid reports whether the lease is held now and will be for the margin.
 func (l *Leadership) Valid(margin time.Duration) bool { return l.lease.Valid(margin) }
 
-// Fence returns the fencing number; zero while the lease is not held.
+// Fence returns the fencing token; zero while the lease is not held.
 func (l *Leadership) Fence() uint64 { return l.lease.Epoch() }
 
-// Check returns the condition that the lease has not passed on, for a transaction; ok is
-// false while it is not held.
+// Check returns a transaction condition that fails once another tenure has begun; ok is false while
+// the lease is not held.
 func (l *Leadership) Check() (check carawayspread.Write, ok bool) { return l.lease.Check() }
 
-// LogLine starts a line of the log about an event of the leader.
+// LogLine starts a log line about an event of the leader.
 func (l *Leadership) LogLine(event string) *decisionlog.Line {
 	return decisionlog.Start(event).Text("holder", l.instance).Int("fence", int64(l.Fence()))
 }
 
-// Renew renews the lease, or tries for it where this process is a candidate, as often as
-// that is due. It reports whether the lease was acquired.
+// Renew renews the lease or, if this process is a candidate, tries to acquire it. It does nothing
+// until the next attempt is due. It reports whether the lease was acquired.
 func (l *Leadership) Renew(ctx context.Context) (acquired bool) {
 	now, held := l.clock.Now(), l.Valid(0)
 	l.holds.Store(held)
-	// One that held the lease last gets it back without waiting, after an outage too.
-	if now.Sub(l.tried) < renewEvery || !l.isSenior(now) && l.Fence() == 0 {
+	// A process that still has a tenure, even an expired one, renews it whether or not it is a
+	// candidate, so that it regains the lease without waiting after an outage.
+	if now.Sub(l.lastTry) < renewEvery || !l.isEligible(now) && l.Fence() == 0 {
 		return false
 	}
-	l.tried = now
+	l.lastTry = now
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	err := l.lease.Try(ctx)
@@ -108,27 +109,27 @@
 	case !holds && held:
 		l.log.Write(l.LogLine(l.event).Text("outcome", "lost"))
 	case err != nil && !errors.Is(err, lease.ErrHeld):
-		l.tried = now.Add(retryEvery - renewEvery)
+		l.lastTry = now.Add(retryEvery - renewEvery)
 		l.log.Write(l.LogLine(l.event).Text("error", err.Error()))
 	}
 	return holds && !held
 }
 
-// isSenior reports whether this process has been a candidate for long enough.
-func (l *Leadership) isSenior(now time.Time) bool {
+// isEligible reports whether this process has been a candidate for at least minCandidacy.
+func (l *Leadership) isEligible(now time.Time) bool {
 	if !l.candidate() {
 		return false
 	}
-	if l.candidateLast.IsZero() || now.Sub(l.candidateLast) > absence {
+	if l.lastCandidate.IsZero() || now.Sub(l.lastCandidate) > maxCandidacyGap {
 		l.candidateSince = now
 	}
-	l.candidateLast = now
-	return now.Sub(l.candidateSince) >= seniority
+	l.lastCandidate = now
+	return now.Sub(l.candidateSince) >= minCandidacy
 }
 
-// Resign drops the lease. The next holding has a higher fencing number.
-func (l *Leadership) Resign(ctx context.Context, why string) {
-	line := l.LogLine(l.event).Text("outcome", "resigned").Text("why", why)
+// Resign releases the lease. The next tenure has a higher fencing token.
+func (l *Leadership) Resign(ctx context.Context, reason string) {
+	line := l.LogLine(l.event).Text("outcome", "resigned").Text("why", reason)
 	if err := l.lease.Release(ctx); err != nil {
 		line.Text("error", err.Error())
 	}
@@ -136,9 +137,10 @@
 	l.log.Write(line)
 }
 
-// ResignOnShutdown has a successor take over at once, unless the lease is held for a moment only.
+// ResignOnShutdown releases the lease, so that a successor takes over at once. It does nothing if
+// the lease has been held for less than minTenure.
 func (l *Leadership) ResignOnShutdown() {
-	if !l.Valid(0) || l.clock.Now().Sub(l.heldSince) < tenureLeast {
+	if !l.Valid(0) || l.clock.Now().Sub(l.heldSince) < minTenure {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
--- a/internal/controller/leadership/leadership_test.go
+++ b/internal/controller/leadership/leadership_test.go
@@ -17,36 +17,36 @@
 	"carawayspread/internal/standin/table"
 )
 
-// machine is what a process runs on: both its clocks are advanced by the test.
-type machine struct {
+// fakeClocks is the clock and the uptime of a process, both advanced by the test.
+type fakeClocks struct {
 	*clockwork.FakeClock
 	started time.Time
 }
 
-func (m machine) Uptime() time.Duration { return m.Now().Sub(m.started) + time.Hour }
+func (c fakeClocks) Uptime() time.Duration { return c.Now().Sub(c.started) + time.Hour }
 
-type world struct {
-	machine
+type cluster struct {
+	fakeClocks
 	service *table.Table
 	client  *dynamodb.Table
 }
 
-func newWorld(t *testing.T) *world {
+func newCluster(t *testing.T) *cluster {
 	service := table.New(carawayspread.SystemClock())
 	server := httptest.NewServer(service)
 	client := dynamodb.New(server.URL)
 	t.Cleanup(func() { client.Close(); server.Close() })
 	clock := clockwork.NewFakeClock()
-	return &world{machine: machine{clock, clock.Now()}, service: service, client: client}
+	return &cluster{fakeClocks: fakeClocks{clock, clock.Now()}, service: service, client: client}
 }
 
-func (w *world) join(instance string, candidate *bool) *Leadership {
-	return New("duty", instance, "p", w.client, func() bool { return *candidate }, w.machine, w.machine,
+func (w *cluster) join(instance string, candidate *bool) *Leadership {
+	return New("duty", instance, "p", w.client, func() bool { return *candidate }, w.fakeClocks, w.fakeClocks,
 		decisionlog.New(io.Discard), metrics.NewSet())
 }
 
-// run lets time pass while all renew.
-func (w *world) run(d time.Duration, all ...*Leadership) {
+// run advances the time by d in steps and calls Renew of all after each.
+func (w *cluster) run(d time.Duration, all ...*Leadership) {
 	const step = 100 * time.Millisecond
 	for ; d > 0; d -= step {
 		w.Advance(step)
@@ -56,32 +56,32 @@
 	}
 }
 
-// Guards against a leader that knows nothing of what processes did that are gone: one that
-// has just become a candidate tries later than one of long standing.
+// Guards against a leader that does not know what processes did that have since ended: a new
+// candidate tries to acquire the lease later than a long-standing one.
 func TestNewcomerTriesLater(t *testing.T) {
-	w := newWorld(t)
-	yes, later := true, false
-	leader, old, newcomer := w.join("leader", &yes), w.join("old", &yes), w.join("new", &later)
-	w.run(seniority+time.Second, leader, old, newcomer)
+	w := newCluster(t)
+	always, later := true, false
+	leader, old, newcomer := w.join("leader", &always), w.join("old", &always), w.join("new", &later)
+	w.run(minCandidacy+time.Second, leader, old, newcomer)
 	qt.Assert(t, leader.Holds(), qt.IsTrue)
-	w.run(tenureLeast, leader, old)
+	w.run(minTenure, leader, old)
 	later = true
 	leader.ResignOnShutdown()
 	qt.Check(t, leader.Fence(), qt.Equals, uint64(0))
-	w.run(seniority-100*time.Millisecond, newcomer)
+	w.run(minCandidacy-100*time.Millisecond, newcomer)
 	qt.Check(t, newcomer.Holds(), qt.IsFalse)
 	w.run(renewEvery, old)
 	qt.Check(t, old.Holds(), qt.IsTrue)
 	qt.Check(t, old.Fence(), qt.Equals, uint64(2))
 }
 
-// Guards against a duty that nobody does for the whole term after an outage of the table:
-// who held the lease last gets it back at once, candidate or not, under its number.
-func TestLastLeaderReturnsAfterAnOutage(t *testing.T) {
-	w := newWorld(t)
+// Guards against a missing leader for a whole term after an outage of the table: the last holder
+// reacquires the lease at once with the same fencing token, even if it is no longer a candidate.
+func TestLastLeaderReacquiresAfterOutage(t *testing.T) {
+	w := newCluster(t)
 	candidate := true
 	leader := w.join("leader", &candidate)
-	w.run(seniority+time.Second, leader)
+	w.run(minCandidacy+time.Second, leader)
 	w.service.SetDown(true)
 	candidate = false
 	w.run(2*term, leader)
@@ -92,13 +92,13 @@
 	qt.Check(t, leader.Fence(), qt.Equals, uint64(1))
 }
 
-// Guards against leaders that take turns quickly: one that leaves right after it took over
-// lets the lease run out.
-func TestLeaderOfAMomentResignsNothing(t *testing.T) {
-	w := newWorld(t)
-	yes := true
-	leader, next := w.join("leader", &yes), w.join("next", &yes)
-	w.run(seniority+100*time.Millisecond, leader)
+// Guards against rapid changes of the leader: one that shuts down right after it acquired the lease
+// lets the lease expire instead of releasing it.
+func TestNewLeaderDoesNotResignOnShutdown(t *testing.T) {
+	w := newCluster(t)
+	always := true
+	leader, next := w.join("leader", &always), w.join("next", &always)
+	w.run(minCandidacy+100*time.Millisecond, leader)
 	qt.Assert(t, leader.Holds(), qt.IsTrue)
 	leader.ResignOnShutdown()
 	w.run(term-100*time.Millisecond, next)
--- a/internal/controller/orderguard/guard.go
+++ b/internal/controller/orderguard/guard.go
@@ -1,18 +1,15 @@
-// Package orderguard keeps two sidecars of one instance from ordering the same
-// engine.
+// Package orderguard prevents two sidecars of one instance from sending orders to the same engine.
 //
-// Failure: a sidecar is paused between its check of the lease and the send, and
-// wakes when its successor is at work. Symptom: an engine that ignores fencing
-// numbers, or has forgotten them in a crash, takes conflicting orders. A check
-// before the send cannot help, since the pause falls after it.
+// A sidecar may be paused between its check of the lease and the send, and resume when its
+// successor is already active. An engine that ignores fencing tokens, or lost them in a crash, then
+// accepts conflicting orders. A check before the send does not help, since the pause comes after it.
 //
-// The guard is a listener on a loopback address that settings name. Only one
-// process of the instance can have it; a paused process has it still, and the
-// kernel frees it when the process has ended. A process that has ended sends
-// nothing more, and what it sent before lies in the engine's socket buffers.
-// The settle wait lets the engine read that before the successor orders
-// anything. Sidecars take the guard first, then wait, then take the lease, so
-// that no order of an older epoch has effect once the lease shows a newer one.
+// The guard is a listener on a loopback address given in the settings. Only one process of the
+// instance can hold it. A paused process still holds it; the kernel closes it when the process has
+// ended. A process that has ended sends nothing more, and what it sent before is in the engine's
+// socket buffers. The settle wait gives the engine time to read it before the successor sends an
+// order. Sidecars acquire the guard first, then wait, then acquire the lease, so that no order of an
+// older epoch takes effect once the lease shows a newer one.
 package orderguard
 
 import (
@@ -29,46 +26,46 @@
 )
 
 const (
-	// defaultFlight bounds how long a running engine leaves a request unread
-	// that has reached its instance: well above the longest stall of an accept
-	// loop that is not counted as a crash.
-	defaultFlight = 2 * time.Second
-	probeEvery    = 100 * time.Millisecond
-	acquireEvery  = 200 * time.Millisecond
+	// defaultMaxReadDelay bounds how long a running engine leaves a request unread that has reached
+	// its instance. It is well above the longest stall of an accept loop that does not count as a
+	// crash.
+	defaultMaxReadDelay = 2 * time.Second
+	probeEvery          = 100 * time.Millisecond
+	acquireEvery        = 200 * time.Millisecond
 )
 
-// kept holds every listener of this process. Without it the runtime would close
-// one that nothing refers to any more, and with it the guard would be gone.
-var kept sync.Map
+// heldListeners references every listener of this process. Without it the runtime would close an
+// unreferenced listener and so release the guard.
+var heldListeners sync.Map
 
-// Guard is the exclusive right of this process to order one engine. It lasts as
-// long as the process.
+// Guard is the exclusive right of this process to send orders to one engine. It lasts until the
+// process ends.
 type Guard struct {
-	listener net.Listener // never accepts; closed by the kernel when the process ends
-	clock    carawayspread.Clock
-	flight   time.Duration
+	listener     net.Listener // never accepts; closed by the kernel when the process ends
+	clock        carawayspread.Clock
+	maxReadDelay time.Duration
 }
 
-// Option sets an optional part of a Guard.
+// Option configures a Guard.
 type Option func(*Guard)
 
 // WithMaxReadDelay sets how long a running engine may leave an order unread.
-func WithMaxReadDelay(d time.Duration) Option { return func(g *Guard) { g.flight = d } }
+func WithMaxReadDelay(d time.Duration) Option { return func(g *Guard) { g.maxReadDelay = d } }
 
-// Acquire waits until no other process has the guard at that address.
+// Acquire waits until no other process holds the guard at the address, and then acquires it.
 func Acquire(ctx context.Context, address string, clock carawayspread.Clock, opts ...Option) (*Guard, error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil || !parsed.Addr().IsLoopback() {
 		return nil, trace.BadParameter("order guard %q is not a loopback address with a port", address)
 	}
-	g := &Guard{clock: clock, flight: defaultFlight}
+	g := &Guard{clock: clock, maxReadDelay: defaultMaxReadDelay}
 	for _, opt := range opts {
 		opt(g)
 	}
 	for {
 		g.listener, err = net.Listen("tcp", address)
 		if err == nil {
-			kept.Store(g.listener, nil)
+			heldListeners.Store(g.listener, nil)
 			return g, nil
 		}
 		if err := wait(ctx, clock, acquireEvery); err != nil {
@@ -77,33 +74,31 @@
 	}
 }
 
-// Address returns the address of the guard.
+// Address returns the listen address of the guard.
 func (g *Guard) Address() string { return g.listener.Addr().String() }
 
-// Settle waits until every order that an earlier holder sent has been read by
-// the engine.
+// Settle waits until the engine has read every order that an earlier holder sent.
 //
-// It counts only time in which the engine runs. Failure: the engine sleeps
-// through the wait with an order unread. Symptom: the order takes effect after
-// the successor's first. So each step is between two probes that the engine
-// answered in time, and a late one starts the wait again. Twice the flight is
-// waited for, since an engine may sleep unseen for up to a step between two
-// probes.
+// Only time in which the engine runs counts. If the engine were suspended during the wait with an
+// order unread, that order would take effect after the successor's first one. Therefore a step
+// counts only between two probes that the engine answered in time, and a late probe restarts the
+// wait. The wait is twice maxReadDelay, since an engine may be suspended unnoticed for up to one
+// step between two probes.
 func (g *Guard) Settle(ctx context.Context, engine carawayspread.Engine) error {
-	awake := time.Duration(0)
-	last := time.Time{}
-	for awake < 2*g.flight {
+	observed := time.Duration(0)
+	lastProbe := time.Time{}
+	for observed < 2*g.maxReadDelay {
 		_, err := engine.State(ctx)
 		now := g.clock.Now()
 		switch {
 		case ctx.Err() != nil:
 			return trace.Wrap(ctx.Err())
 		case err != nil:
-			awake, last = 0, time.Time{}
-		case last.IsZero() || now.Sub(last) > 2*probeEvery:
-			awake, last = 0, now
+			observed, lastProbe = 0, time.Time{}
+		case lastProbe.IsZero() || now.Sub(lastProbe) > 2*probeEvery:
+			observed, lastProbe = 0, now
 		default:
-			awake, last = awake+probeEvery, now
+			observed, lastProbe = observed+probeEvery, now
 		}
 		if err := wait(ctx, g.clock, probeEvery); err != nil {
 			return err
