--- a/internal/controller/orders/doc.go
+++ b/internal/controller/orders/doc.go
@@ -1,13 +1,12 @@
-// Package orders gives one engine its orders.
+// Package orders sends orders to one engine.
 //
-// Engines change for seconds, crash in the middle of it, and answer late or not
-// at all. Two orders at once, or one order twice under two names, leave an
-// engine in a state that nobody planned. So one order runs at a time, an order
-// without an answer is read back before anything follows, and it is repeated
-// only under the id that it had. An order that would cut running requests waits
-// until the sidecar has none.
+// A change takes an engine seconds, and the engine may crash during it or respond late or not at
+// all. Two concurrent orders, or one order sent under two ids, leave an engine in a state that no
+// plan has. Therefore one order runs at a time, the state is read back after an order without a
+// response before another one follows, and an order is retried only under its original id. An order
+// that would abort running requests waits until the sidecar has none.
 //
-// Authority comes in this sequence: the order guard, the settle wait, the
-// lease, and, at an engine that checks fencing numbers, a first order that
-// changes nothing but raises its number.
+// The authority to send orders is acquired in this sequence: the order guard, the settle wait, the
+// lease and, if the engine checks fencing tokens, a first order that changes nothing but raises the
+// engine's token.
 package orders
--- a/internal/controller/orders/orders.go
+++ b/internal/controller/orders/orders.go
@@ -12,91 +12,91 @@
 )
 
 const (
-	defaultTimeout = 2 * time.Second        // for one answer of the engine
-	pollEvery      = 200 * time.Millisecond // of an engine that is changing
-	defaultRepeats = 3
+	defaultTimeout     = 2 * time.Second        // for one response of the engine
+	pollEvery          = 200 * time.Millisecond // of the state of an engine
+	defaultMaxAttempts = 3
 )
 
-// Errors that leave the engine as it was.
+// Errors after which the engine is unchanged.
 var (
-	// ErrNoAuthority says that this sidecar may not order the engine now.
+	// ErrNoAuthority is returned while this sidecar may not send orders to the engine.
 	ErrNoAuthority = errors.New("no authority over the engine, nothing sent")
-	// ErrOutdated says that a newer plan has been begun.
+	// ErrOutdated is returned if an order of a newer plan was sent before.
 	ErrOutdated = errors.New("order belongs to an outdated plan, nothing sent")
 )
 
 // Lease is the lease on the engine.
 type Lease interface {
-	// Run keeps the lease until ctx ends.
+	// Run acquires and renews the lease until ctx ends.
 	Run(ctx context.Context) error
-	// Valid reports whether the lease is held for the margin to come.
+	// Valid reports whether the lease is held now and will be for the margin.
 	Valid(margin time.Duration) bool
-	// Epoch returns the fencing number.
+	// Epoch returns the fencing token; zero while the lease is not held.
 	Epoch() uint64
 }
 
-// QuiesceFunc stops new work at the engine, waits until none runs, and returns what
-// admits work again.
+// QuiesceFunc stops new requests at the engine, waits until none is running, and returns a function
+// that admits requests again.
 type QuiesceFunc func(ctx context.Context) (resume func(), err error)
 
-// Orders gives orders to one engine. It is safe for concurrent use.
+// Orders sends orders to one engine. It is safe for concurrent use.
 type Orders struct {
-	engine  carawayspread.Engine
-	lease   Lease
-	clock   carawayspread.Clock
-	quiet   QuiesceFunc
-	guard   string // address; empty where the deployment has none
-	flight  []orderguard.Option
-	checks  bool // the engine checks fencing numbers
-	timeout time.Duration
-	repeats int
-
-	held   *orderguard.Guard // nil until acquired; used by Run alone
-	waited bool              // the settle wait after it is over; used by Run alone
-
-	turn   chan struct{} // holds one token; whoever has it orders
-	newest uint64        // the newest plan begun; guarded by turn
-	raised uint64        // the number that the engine is known to hold; guarded by turn
-	boot   string        // the life of the engine in which it was raised; guarded by turn
+	engine       carawayspread.Engine
+	lease        Lease
+	clock        carawayspread.Clock
+	quiesce      QuiesceFunc
+	guardAddress string // empty if the deployment has none
+	guardOpts    []orderguard.Option
+	checksFence  bool // the engine checks fencing tokens
+	timeout      time.Duration
+	maxAttempts  int
+
+	heldGuard    *orderguard.Guard // nil until acquired; used by Run only
+	guardSettled bool              // the settle wait is over; used by Run only
+
+	sem         chan struct{} // holds one token; its owner may send orders
+	newestPlan  uint64        // newest plan with an order; guarded by sem
+	raisedFence uint64        // fencing token that the engine is known to have; guarded by sem
+	raisedBoot  string        // boot id of the engine when it was raised; guarded by sem
 }
 
-// Option sets an optional part of Orders.
+// Option configures Orders.
 type Option func(*Orders)
 
 // WithGuard sets the loopback address of the order guard.
 func WithGuard(address string, opts ...orderguard.Option) Option {
-	return func(o *Orders) { o.guard, o.flight = address, opts }
+	return func(o *Orders) { o.guardAddress, o.guardOpts = address, opts }
 }
 
-// WithFencing says that the engine checks fencing numbers.
-func WithFencing() Option { return func(o *Orders) { o.checks = true } }
+// WithFencing declares that the engine checks fencing tokens.
+func WithFencing() Option { return func(o *Orders) { o.checksFence = true } }
 
-// WithQuiesce sets what empties the engine before its role changes.
-func WithQuiesce(quiet QuiesceFunc) Option { return func(o *Orders) { o.quiet = quiet } }
+// WithQuiesce sets the function that quiesces the engine before a role change.
+func WithQuiesce(quiesce QuiesceFunc) Option { return func(o *Orders) { o.quiesce = quiesce } }
 
-// WithTimeout bounds the wait for one answer of the engine.
+// WithTimeout sets the timeout of one call to the engine.
 func WithTimeout(d time.Duration) Option { return func(o *Orders) { o.timeout = d } }
 
-// New returns the orders to one engine.
+// New returns the Orders of one engine.
 func New(engine carawayspread.Engine, lease Lease, clock carawayspread.Clock, opts ...Option) *Orders {
 	o := &Orders{
-		engine:  engine,
-		lease:   lease,
-		clock:   clock,
-		quiet:   func(context.Context) (func(), error) { return func() {}, nil },
-		timeout: defaultTimeout,
-		repeats: defaultRepeats,
-		turn:    make(chan struct{}, 1),
+		engine:      engine,
+		lease:       lease,
+		clock:       clock,
+		quiesce:     func(context.Context) (func(), error) { return func() {}, nil },
+		timeout:     defaultTimeout,
+		maxAttempts: defaultMaxAttempts,
+		sem:         make(chan struct{}, 1),
 	}
 	for _, opt := range opts {
 		opt(o)
 	}
-	o.turn <- struct{}{}
+	o.sem <- struct{}{}
 	return o
 }
 
-// Run acquires the authority over the engine and keeps it until ctx ends. The
-// guard stays with the process; runs follow one another, never overlap.
+// Run acquires the authority over the engine and keeps it until ctx ends. The order guard is kept
+// until the process ends. Run may be called again after it has returned, but not concurrently.
 func (o *Orders) Run(ctx context.Context) error {
 	if err := o.acquire(ctx); err != nil {
 		return err
@@ -105,36 +105,36 @@
 }
 
 func (o *Orders) acquire(ctx context.Context) (err error) {
-	if o.guard == "" || o.waited {
+	if o.guardAddress == "" || o.guardSettled {
 		return nil
 	}
-	if o.held == nil {
-		if o.held, err = orderguard.Acquire(ctx, o.guard, o.clock, o.flight...); err != nil {
+	if o.heldGuard == nil {
+		if o.heldGuard, err = orderguard.Acquire(ctx, o.guardAddress, o.clock, o.guardOpts...); err != nil {
 			return err
 		}
 	}
-	if err = o.held.Settle(ctx, o.engine); err != nil {
+	if err = o.heldGuard.Settle(ctx, o.engine); err != nil {
 		return err
 	}
-	o.waited = true
+	o.guardSettled = true
 	return nil
 }
 
-// Do carries out an order of a plan and returns the engine's state after it.
-// Orders of one plan are done in the order of the calls. Any error but
-// ErrNoAuthority and ErrOutdated leaves open whether the order took effect.
+// Do executes an order of a plan and returns the engine's state after it. Concurrent calls are
+// serialized. After any error other than ErrNoAuthority and ErrOutdated the order may or may not
+// have taken effect.
 func (o *Orders) Do(ctx context.Context, plan uint64, order carawayspread.Order) (carawayspread.EngineState, error) {
 	select {
-	case <-o.turn:
+	case <-o.sem:
 	case <-ctx.Done():
 		return carawayspread.EngineState{}, ErrNoAuthority
 	}
-	defer func() { o.turn <- struct{}{} }()
-	if plan < o.newest {
+	defer func() { o.sem <- struct{}{} }()
+	if plan < o.newestPlan {
 		return carawayspread.EngineState{}, ErrOutdated
 	}
-	o.newest = plan
-	state, err := o.ready(ctx)
+	o.newestPlan = plan
+	state, err := o.prepare(ctx)
 	if err != nil {
 		return state, err
 	}
@@ -142,39 +142,39 @@
 		return state, nil
 	}
 	if order.Kind != carawayspread.OrderSetRole {
-		return o.carryOut(ctx, order)
+		return o.execute(ctx, order)
 	}
-	resume, err := o.quiet(ctx)
+	resume, err := o.quiesce(ctx)
 	if err != nil {
-		return state, trace.Wrap(err, "running work has not ended, nothing sent")
+		return state, trace.Wrap(err, "running requests have not ended, nothing sent")
 	}
 	defer resume()
-	if state, err = o.idle(ctx); err != nil {
+	if state, err = o.awaitIdle(ctx); err != nil {
 		return state, err
 	}
-	return o.carryOut(ctx, order)
+	return o.execute(ctx, order)
 }
 
-// ready waits until the engine is not changing and, where it checks fencing
-// numbers, holds ours.
-func (o *Orders) ready(ctx context.Context) (carawayspread.EngineState, error) {
-	state, err := o.settled(ctx)
-	if err != nil || !o.checks || (o.raised == o.lease.Epoch() && o.boot == state.Boot) {
+// prepare waits until the engine is not changing and, if it checks fencing tokens, has the token of
+// this sidecar.
+func (o *Orders) prepare(ctx context.Context) (carawayspread.EngineState, error) {
+	state, err := o.awaitStable(ctx)
+	if err != nil || !o.checksFence || (o.raisedFence == o.lease.Epoch() && o.raisedBoot == state.Boot) {
 		return state, err
 	}
-	if err := o.raise(ctx, state); err != nil {
+	if err := o.raiseFence(ctx, state); err != nil {
 		return state, err
 	}
-	return o.settled(ctx)
+	return o.awaitStable(ctx)
 }
 
-// raise repeats the engine's last order under our number.
+// raiseFence sends the engine's last order again with the fencing token of this sidecar.
 //
-// Failure: an order of the last holder arrives after we read the state and
-// before our first order. Symptom: it runs together with ours, since the engine
-// does not know our number yet. The repeated id changes nothing but the number,
-// after which older orders are refused, and the state is read again.
-func (o *Orders) raise(ctx context.Context, state carawayspread.EngineState) error {
+// An order of the previous holder may arrive after this sidecar has read the state and before its
+// first order. It would run concurrently with that order, since the engine does not know the newer
+// token yet. An order with a known id changes nothing but the token; afterwards the engine rejects
+// older orders, and the state is read again.
+func (o *Orders) raiseFence(ctx context.Context, state carawayspread.EngineState) error {
 	order := carawayspread.Order{ID: state.LastID, Kind: carawayspread.OrderSetVersion, Value: state.Version}
 	if order.ID == "" {
 		order.ID = "first"
@@ -183,11 +183,11 @@
 	if _, err := o.send(ctx, order); err != nil {
 		return err
 	}
-	o.raised, o.boot = epoch, state.Boot
+	o.raisedFence, o.raisedBoot = epoch, state.Boot
 	return nil
 }
 
-// send gives the order to the engine if the lease lasts until its answer is due.
+// send sends the order to the engine if the lease is valid for at least the timeout.
 func (o *Orders) send(ctx context.Context, order carawayspread.Order) (carawayspread.EngineState, error) {
 	order.Fence = o.lease.Epoch()
 	if !o.lease.Valid(o.timeout) {
--- a/internal/controller/orders/orders_test.go
+++ b/internal/controller/orders/orders_test.go
@@ -12,35 +12,34 @@
 	"carawayspread"
 )
 
-// fakeEngine runs one change at a time and notes a conflict where an order with
-// another id arrives during one. A change ends when it has been looked at often
-// enough, so that no time passes.
+// fakeEngine runs one change at a time and counts a conflict if an order with another id arrives
+// during a change. A change ends after a number of reads of the state, so that no time passes.
 type fakeEngine struct {
-	mu        sync.Mutex
-	state     carawayspread.EngineState
-	checks    bool
-	looks     int // reads of the state that a change lasts
-	left      int
-	pending   carawayspread.Order
-	seen      map[string]bool // ids that are carried out once
-	got       []carawayspread.Order
-	conflicts int
-	onState   func() // runs once, after the answer to a read was made
-	onOrder   func() // runs once, before an order is taken
-	lose      int    // answers to orders that are lost
-	crash     int    // changes that end in a crash
+	mu          sync.Mutex
+	state       carawayspread.EngineState
+	checksFence bool
+	changeReads int // reads of the state until a change ends
+	readsLeft   int
+	pending     carawayspread.Order
+	executedIDs map[string]bool // ids that are not executed again
+	executed    []carawayspread.Order
+	conflicts   int
+	onState     func() // runs once, after a read has copied the state
+	onOrder     func() // runs once, before an order is processed
+	lostReplies int    // number of lost responses to orders
+	crashes     int    // number of changes that end in a crash
 }
 
-func newEngine(looks, lose, crash int) *fakeEngine {
-	return &fakeEngine{looks: looks, lose: lose, crash: crash, seen: map[string]bool{}}
+func newEngine(changeReads, lostReplies, crashes int) *fakeEngine {
+	return &fakeEngine{changeReads: changeReads, lostReplies: lostReplies, crashes: crashes, executedIDs: map[string]bool{}}
 }
 
 func (e *fakeEngine) State(context.Context) (carawayspread.EngineState, error) {
 	e.mu.Lock()
-	if e.state.Changing && e.left == 0 {
+	if e.state.Changing && e.readsLeft == 0 {
 		e.finish()
 	}
-	e.left = max(0, e.left-1)
+	e.readsLeft = max(0, e.readsLeft-1)
 	state, after := e.state, e.onState
 	e.onState = nil
 	e.mu.Unlock()
@@ -52,10 +51,10 @@
 
 func (e *fakeEngine) finish() {
 	e.state.Changing = false
-	if e.crash > 0 {
-		e.crash--
+	if e.crashes > 0 {
+		e.crashes--
 		e.state.Boot += "x"
-		e.seen[e.pending.ID] = false
+		e.executedIDs[e.pending.ID] = false
 		return
 	}
 	switch e.pending.Kind {
@@ -76,20 +75,20 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.checks && order.Fence < e.state.Fence {
+	if e.checksFence && order.Fence < e.state.Fence {
 		return e.state, carawayspread.NewError(carawayspread.CodeStale, "")
 	}
 	e.state.Fence = order.Fence
-	if !e.seen[order.ID] {
+	if !e.executedIDs[order.ID] {
 		if e.state.Changing {
 			e.conflicts++
 		}
-		e.got = append(e.got, order)
-		e.seen[order.ID] = true
-		e.state.LastID, e.state.Changing, e.pending, e.left = order.ID, true, order, e.looks
+		e.executed = append(e.executed, order)
+		e.executedIDs[order.ID] = true
+		e.state.LastID, e.state.Changing, e.pending, e.readsLeft = order.ID, true, order, e.changeReads
 	}
-	if e.lose > 0 {
-		e.lose--
+	if e.lostReplies > 0 {
+		e.lostReplies--
 		return carawayspread.EngineState{}, errors.New("answer lost")
 	}
 	return e.state, nil
@@ -104,45 +103,44 @@
 func (l *fakeLease) Valid(time.Duration) bool      { return l.valid }
 func (l *fakeLease) Epoch() uint64                 { return l.epoch }
 
-// instant is a clock whose waits are over at once.
-type instant struct{}
+// instantClock is a clock whose waits end at once.
+type instantClock struct{}
 
-func (instant) Now() time.Time { return time.Unix(0, 0) }
-func (instant) After(time.Duration) <-chan time.Time {
+func (instantClock) Now() time.Time { return time.Unix(0, 0) }
+func (instantClock) After(time.Duration) <-chan time.Time {
 	c := make(chan time.Time, 1)
 	c <- time.Time{}
 	return c
 }
 
-func load(id, model string) carawayspread.Order {
+func loadModel(id, model string) carawayspread.Order {
 	return carawayspread.Order{ID: id, Kind: carawayspread.OrderLoadModel, Value: model}
 }
 
-func role(id string, r carawayspread.Role) carawayspread.Order {
+func setRole(id string, r carawayspread.Role) carawayspread.Order {
 	return carawayspread.Order{ID: id, Kind: carawayspread.OrderSetRole, Value: string(r)}
 }
 
-// A change lasts for several reads of the state and its answer is lost, or the
-// engine crashes in the middle of it. The next order must not reach an engine
-// that is changing, the lost one must take effect in the end, and no second id
-// may stand for it.
+// A change takes several reads of the state, and the response to the order is lost or the engine
+// crashes during the change. The next order must not reach an engine that is changing, and the
+// first one must finally take effect without being sent under a second id.
 func TestOneOrderAtATime(t *testing.T) {
 	tests := map[string]*fakeEngine{
 		"slow change":           newEngine(3, 0, 0),
 		"lost answer":           newEngine(3, 1, 0),
-		"crash in mid change":   newEngine(2, 0, 1),
+		"crash during change":   newEngine(2, 0, 1),
 		"crash and lost answer": newEngine(2, 2, 1),
 	}
 	for name, engine := range tests {
 		t.Run(name, func(t *testing.T) {
-			o := New(engine, &fakeLease{epoch: 1, valid: true}, instant{})
-			_, err := o.Do(context.Background(), 1, load("1/a", "m"))
+			o := New(engine, &fakeLease{epoch: 1, valid: true}, instantClock{})
+			_, err := o.Do(context.Background(), 1, loadModel("1/a", "m"))
 			qt.Assert(t, err, qt.IsNil)
-			state, err := o.Do(context.Background(), 1, role("1/b", carawayspread.RoleDecode))
+			state, err := o.Do(context.Background(), 1, setRole("1/b", carawayspread.RoleDecode))
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, engine.conflicts, qt.Equals, 0)
 			ids := map[string]bool{}
-			for _, order := range engine.got {
+			for _, order := range engine.executed {
 				ids[order.ID] = true
 			}
 			qt.Check(t, ids, qt.DeepEquals, map[string]bool{"1/a": true, "1/b": true})
@@ -152,64 +150,63 @@
 	}
 }
 
-// The lease ends while its holder is paused. Whoever asks the holder for an
-// order afterwards is told that nothing was sent, and the engine has seen
-// nothing.
+// The lease has expired while its holder was paused. An order afterwards must fail with
+// ErrNoAuthority, and nothing may reach the engine.
 func TestNoOrderWithoutLease(t *testing.T) {
 	engine := newEngine(0, 0, 0)
-	o := New(engine, &fakeLease{epoch: 1}, instant{})
-	_, err := o.Do(context.Background(), 1, load("1/a", "m"))
+	o := New(engine, &fakeLease{epoch: 1}, instantClock{})
+	_, err := o.Do(context.Background(), 1, loadModel("1/a", "m"))
 	qt.Check(t, err, qt.ErrorIs, ErrNoAuthority)
-	qt.Check(t, engine.got, qt.HasLen, 0)
+	qt.Check(t, engine.executed, qt.HasLen, 0)
 }
 
-// A sidecar has begun plan 2 when an order of plan 1 reaches it late. Carried
-// out, it would undo the newer plan, and nobody would order it back.
+// A late order of plan 1 reaches a sidecar that has started plan 2. If it were executed, it would
+// revert the newer plan, and no other order would correct that.
 func TestOutdatedPlanIsDropped(t *testing.T) {
 	engine := newEngine(0, 0, 0)
-	o := New(engine, &fakeLease{epoch: 1, valid: true}, instant{})
-	_, err := o.Do(context.Background(), 2, role("2/a", carawayspread.RoleDecode))
+	o := New(engine, &fakeLease{epoch: 1, valid: true}, instantClock{})
+	_, err := o.Do(context.Background(), 2, setRole("2/a", carawayspread.RoleDecode))
 	qt.Assert(t, err, qt.IsNil)
-	state, err := o.Do(context.Background(), 1, role("1/a", carawayspread.RolePrefill))
+	state, err := o.Do(context.Background(), 1, setRole("1/a", carawayspread.RolePrefill))
 	qt.Check(t, err, qt.ErrorIs, ErrOutdated)
 	qt.Check(t, state.Role, qt.Not(qt.Equals), carawayspread.RolePrefill)
-	qt.Check(t, engine.got, qt.HasLen, 1)
+	qt.Check(t, engine.executed, qt.HasLen, 1)
 }
 
-// A predecessor, paused between check and send, wakes right after its successor
-// has read the state. Its order is taken, since the engine knows no newer
-// number yet, and the successor's first order must wait until that is over. A
-// second late order must be refused.
+// A predecessor that was paused between check and send resumes right after its successor has read
+// the state. The engine accepts its order, since it knows no newer fencing token yet, and the
+// successor's first order must wait until that change has ended. A second late order must be
+// rejected.
 func TestFenceIsRaisedBeforeTheFirstOrder(t *testing.T) {
 	engine := newEngine(2, 0, 0)
-	engine.checks = true
-	engine.seen["0/a"] = true
+	engine.checksFence = true
+	engine.executedIDs["0/a"] = true
 	engine.state.LastID, engine.state.Fence = "0/a", 1
-	late := func(id string) error {
-		order := role(id, carawayspread.RolePrefill)
+	sendLate := func(id string) error {
+		order := setRole(id, carawayspread.RolePrefill)
 		order.Fence = 1
 		_, err := engine.Order(context.Background(), order)
 		return err
 	}
-	engine.onState = func() { qt.Check(t, late("0/b"), qt.IsNil) }
-	o := New(engine, &fakeLease{epoch: 2, valid: true}, instant{}, WithFencing())
-	state, err := o.Do(context.Background(), 1, load("1/a", "m"))
+	engine.onState = func() { qt.Check(t, sendLate("0/b"), qt.IsNil) }
+	o := New(engine, &fakeLease{epoch: 2, valid: true}, instantClock{}, WithFencing())
+	state, err := o.Do(context.Background(), 1, loadModel("1/a", "m"))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, engine.conflicts, qt.Equals, 0)
 	qt.Check(t, state.Models, qt.DeepEquals, []string{"m"})
-	qt.Check(t, late("0/c"), qt.IsNotNil)
+	qt.Check(t, sendLate("0/c"), qt.IsNotNil)
 }
 
-// Requests run on an engine that is to change its role. The order must wait
-// until the sidecar has stopped new work and the running work has ended, and
-// work is admitted again afterwards: a change cuts nothing.
+// Requests are running on an engine that is to change its role. So that the change aborts none, the
+// order must wait until the sidecar has stopped new requests and the running ones have ended.
+// Requests are admitted again afterwards.
 func TestRoleChangeWaitsForRunningWork(t *testing.T) {
 	engine := newEngine(0, 0, 0)
 	engine.state.Running = 2
 	var steps []string
 	note := func(step string) func() { return func() { steps = append(steps, step) } }
 	engine.onOrder = note("order")
-	quiet := func(context.Context) (func(), error) {
+	quiesce := func(context.Context) (func(), error) {
 		note("quiet")()
 		engine.onState = func() {
 			note("idle")()
@@ -217,8 +214,8 @@
 		}
 		return note("resume"), nil
 	}
-	o := New(engine, &fakeLease{epoch: 1, valid: true}, instant{}, WithQuiesce(quiet))
-	_, err := o.Do(context.Background(), 1, role("1/a", carawayspread.RoleDecode))
+	o := New(engine, &fakeLease{epoch: 1, valid: true}, instantClock{}, WithQuiesce(quiesce))
+	_, err := o.Do(context.Background(), 1, setRole("1/a", carawayspread.RoleDecode))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, steps, qt.DeepEquals, []string{"quiet", "idle", "order", "resume"})
 }
