--- a/internal/controller/orders/orders.go
+++ b/internal/controller/orders/orders.go
@@ -21,7 +21,7 @@
 var (
 	// ErrNoAuthority is returned while this sidecar may not send orders to the engine.
 	ErrNoAuthority = errors.New("no authority over the engine, nothing sent")
-	// ErrOutdated is returned if an order of a newer plan was sent before.
+	// ErrOutdated is returned for an order of a plan older than one whose orders have begun.
 	ErrOutdated = errors.New("order belongs to an outdated plan, nothing sent")
 )
 
@@ -120,9 +120,9 @@
 	return nil
 }
 
-// Do executes an order of a plan and returns the engine's state after it. Concurrent calls are
-// serialized. After any error other than ErrNoAuthority and ErrOutdated the order may or may not
-// have taken effect.
+// Do executes an order of a plan and returns the engine's state after it. Orders of
+// one plan are executed one at a time, in the order of the calls. After any error other than
+// ErrNoAuthority and ErrOutdated the order may or may not have taken effect.
 func (o *Orders) Do(ctx context.Context, plan uint64, order carawayspread.Order) (carawayspread.EngineState, error) {
 	select {
 	case <-o.sem:
--- a/internal/controller/planfollower/follower.go
+++ b/internal/controller/planfollower/follower.go
@@ -1,11 +1,10 @@
-// Package planfollower has the engines of one sidecar carry out the newest plan
-// of their service.
+// Package planfollower executes the newest plan of a service at the engines of one sidecar.
 //
-// A sidecar reads the plan every few seconds and holds its lease only while it
-// has orders to give: idle sidecars write nothing, where renewals of 325 leases
-// would take a fair part of the store's writes. A newer plan ends the work on
-// an older one between two steps or in a wait; what is under way at an engine
-// is waited for before the first step of the newer plan.
+// A sidecar reads the plan every few seconds and holds the lease of an engine only while it has
+// orders for it: idle sidecars write nothing, whereas renewals of 325 leases would take a considerable
+// share of the table's writes. A newer plan cancels the execution of an older one between two steps
+// or during a wait; a change that an engine has started is awaited before the first step of the
+// newer plan.
 package planfollower
 
 import (
@@ -23,7 +22,7 @@
 )
 
 const (
-	// readEvery makes 65 reads a second of 325 sidecars. Plans are minutes apart.
+	// readEvery results in 65 reads per second with 325 sidecars. Plans are minutes apart.
 	readEvery  = 5 * time.Second
 	retryEvery = 500 * time.Millisecond
 )
@@ -33,29 +32,29 @@
 	Read(ctx context.Context) (planstore.Plan, error)
 }
 
-// Engine is what gives orders to one engine.
+// Engine sends orders to one engine.
 type Engine interface {
-	// Run keeps the authority over the engine until ctx ends.
+	// Run acquires the authority over the engine and keeps it until ctx ends.
 	Run(ctx context.Context) error
-	// Do carries out one order of a plan.
+	// Do executes one order of a plan.
 	Do(ctx context.Context, plan uint64, order carawayspread.Order) (carawayspread.EngineState, error)
 }
 
-// Follower carries out the plans of one service at the engines of a sidecar.
+// Follower executes the plans of one service at the engines of a sidecar.
 type Follower struct {
 	plans   Plans
 	engines map[carawayspread.EndpointID]Engine // fixed
 	clock   carawayspread.Clock
 	log     log.Interface
-	spread  func() float64 // in [0, 1)
+	jitter  func() float64 // in [0, 1)
 }
 
-// New returns a follower. Its engines share no state that a plan orders.
+// New returns a follower of the plans. Orders to different engines are independent of one another.
 func New(plans Plans, engines map[carawayspread.EndpointID]Engine, clock carawayspread.Clock, l log.Interface) *Follower {
-	return &Follower{plans: plans, engines: engines, clock: clock, log: l, spread: rand.Float64}
+	return &Follower{plans: plans, engines: engines, clock: clock, log: l, jitter: rand.Float64}
 }
 
-// Run follows the plans until ctx ends and its last work has ended.
+// Run executes the newest plan until ctx ends. It returns after running orders have ended.
 func (f *Follower) Run(ctx context.Context) error {
 	newest := uint64(0)
 	stop := func() {}
@@ -66,9 +65,9 @@
 			stop()
 			stop = f.begin(ctx, plan)
 		}
-		pause := readEvery - time.Duration(f.spread()*float64(readEvery)/2)
+		delay := readEvery - time.Duration(f.jitter()*float64(readEvery)/2)
 		select {
-		case <-f.clock.After(pause):
+		case <-f.clock.After(delay):
 		case <-ctx.Done():
 			stop()
 			return ctx.Err()
@@ -76,7 +75,7 @@
 	}
 }
 
-// begin starts to carry out a plan and returns what ends that.
+// begin starts the execution of a plan. stop cancels it and waits until it has ended.
 func (f *Follower) begin(ctx context.Context, plan planstore.Plan) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	steps := map[carawayspread.EndpointID][]carawayspread.Order{}
@@ -87,7 +86,7 @@
 	}
 	var wg sync.WaitGroup
 	for endpoint, list := range steps {
-		wg.Go(func() { f.carryOut(ctx, plan.Number(), endpoint, list) })
+		wg.Go(func() { f.executeOrders(ctx, plan.Number(), endpoint, list) })
 	}
 	return func() {
 		cancel()
@@ -95,9 +94,9 @@
 	}
 }
 
-// carryOut gives the orders of one engine in their sequence. A step that fails
-// is tried again: those behind it may rely on it.
-func (f *Follower) carryOut(ctx context.Context, plan uint64, endpoint carawayspread.EndpointID, list []carawayspread.Order) {
+// executeOrders executes the orders of one engine in sequence. A failed order is retried before the
+// next one, since later orders may depend on it.
+func (f *Follower) executeOrders(ctx context.Context, plan uint64, endpoint carawayspread.EndpointID, list []carawayspread.Order) {
 	engine := f.engines[endpoint]
 	session, end := context.WithCancel(ctx)
 	var authority sync.WaitGroup
@@ -109,14 +108,15 @@
 	defer authority.Wait()
 	defer end()
 	for _, order := range list {
-		if !f.step(ctx, plan, endpoint, order) {
+		if !f.executeOrder(ctx, plan, endpoint, order) {
 			return
 		}
 	}
 }
 
-// step reports whether the order is in effect.
-func (f *Follower) step(ctx context.Context, plan uint64, endpoint carawayspread.EndpointID, order carawayspread.Order) bool {
+// executeOrder retries the order until it is in effect, and reports whether it is. It returns false
+// if the plan is outdated or ctx ended.
+func (f *Follower) executeOrder(ctx context.Context, plan uint64, endpoint carawayspread.EndpointID, order carawayspread.Order) bool {
 	entry := f.log.WithFields(log.Fields{
 		"endpoint": endpoint, "plan": plan, "order": order.ID, "kind": order.Kind, "value": order.Value,
 	})
@@ -124,10 +124,10 @@
 		_, err := f.engines[endpoint].Do(ctx, plan, order)
 		switch {
 		case err == nil:
-			entry.Info("order carried out")
+			entry.Info("order executed")
 			return true
 		case errors.Is(err, orders.ErrOutdated):
-			entry.Info("order outdated")
+			entry.Info("order belongs to an outdated plan")
 			return false
 		case !errors.Is(err, orders.ErrNoAuthority):
 			entry.WithError(err).Warn("order not in effect")
--- a/internal/controller/planfollower/follower_test.go
+++ b/internal/controller/planfollower/follower_test.go
@@ -19,30 +19,30 @@
 	"carawayspread/internal/standin/table"
 )
 
-// fakeEngine notes what it is ordered while the authority over it is held. The
-// order named block stays without effect until its context ends.
+// fakeEngine records the orders that it receives while the authority over it is held. The order
+// with the id "block" does not return until its context ends.
 type fakeEngine struct {
 	mu       sync.Mutex
 	held     bool
-	fail     int // orders that are not in effect at first
-	done     []string
+	failures int // number of orders that fail first
+	executed []string
 	blocking chan struct{}
 }
 
 func (e *fakeEngine) Run(ctx context.Context) error {
-	e.hold(true)
+	e.setHeld(true)
 	<-ctx.Done()
-	e.hold(false)
+	e.setHeld(false)
 	return ctx.Err()
 }
 
-func (e *fakeEngine) hold(held bool) {
+func (e *fakeEngine) setHeld(held bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.held = held
 }
 
-func (e *fakeEngine) holds() bool {
+func (e *fakeEngine) isHeld() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.held
@@ -59,29 +59,29 @@
 	if !e.held {
 		return state, errors.New("the authority is not held")
 	}
-	if e.fail > 0 {
-		e.fail--
+	if e.failures > 0 {
+		e.failures--
 		return state, errors.New("not in effect")
 	}
-	e.done = append(e.done, order.ID)
+	e.executed = append(e.executed, order.ID)
 	return state, nil
 }
 
-func (e *fakeEngine) ended() []string {
+func (e *fakeEngine) executedIDs() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]string(nil), e.done...)
+	return append([]string(nil), e.executed...)
 }
 
-// instant is a clock whose waits are short.
-type instant struct{ carawayspread.Clock }
+// shortWaitClock is a clock whose waits take one millisecond.
+type shortWaitClock struct{ carawayspread.Clock }
 
-func (instant) After(time.Duration) <-chan time.Time { return time.After(time.Millisecond) }
+func (shortWaitClock) After(time.Duration) <-chan time.Time { return time.After(time.Millisecond) }
 
-// A plan has orders for two engines, one of them elsewhere. A step fails at
-// first, and the next one must wait for it. A step of the first plan never takes
-// effect; a newer plan must end it and be carried out, and nothing of the older
-// one may follow. When there is nothing left to do, the lease is given back.
+// A plan has orders for two engines, one of them at another sidecar. A step fails at first, and the
+// next one must wait for it. Another step of the plan never takes effect: a newer plan must cancel it
+// and be executed, and no later step of the older plan may follow. Without remaining work, the
+// authority over the engine is released.
 func TestNewerPlanEndsTheOlder(t *testing.T) {
 	server := httptest.NewServer(table.New(carawayspread.SystemClock()))
 	client := dynamodb.New(server.URL)
@@ -101,19 +101,19 @@
 	}
 	first := write(planstore.Plan{}, "1", "2", "block", "never")
 
-	engine := &fakeEngine{fail: 2, blocking: make(chan struct{})}
+	engine := &fakeEngine{failures: 2, blocking: make(chan struct{})}
 	f := New(plans, map[carawayspread.EndpointID]Engine{"engine-1": engine},
-		instant{carawayspread.SystemClock()}, &log.Logger{Handler: discard.New()})
+		shortWaitClock{carawayspread.SystemClock()}, &log.Logger{Handler: discard.New()})
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan error, 1)
-	go func() { ended <- f.Run(ctx) }()
+	runErr := make(chan error, 1)
+	go func() { runErr <- f.Run(ctx) }()
 	<-engine.blocking
-	qt.Check(t, engine.ended(), qt.DeepEquals, []string{"1", "2"})
+	qt.Check(t, engine.executedIDs(), qt.DeepEquals, []string{"1", "2"})
 	write(first, "3")
-	for len(engine.ended()) < 3 || engine.holds() {
+	for len(engine.executedIDs()) < 3 || engine.isHeld() {
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
-	qt.Check(t, <-ended, qt.ErrorIs, context.Canceled)
-	qt.Check(t, engine.ended(), qt.DeepEquals, []string{"1", "2", "3"})
+	qt.Check(t, <-runErr, qt.ErrorIs, context.Canceled)
+	qt.Check(t, engine.executedIDs(), qt.DeepEquals, []string{"1", "2", "3"})
 }
--- a/internal/controller/planner/planner.go
+++ b/internal/controller/planner/planner.go
@@ -1,10 +1,9 @@
-// Package planner has one entry of the fleet plan the roles of a service's
-// engines.
+// Package planner plans the roles of a service's engines at one entry of the fleet.
 //
-// Every entry runs a planner, and the table's lease lets one of them plan. It
-// asks the role policy every few seconds and writes what it decides as the next
-// plan, in a transaction that fails when the lease has passed on. While the
-// table is down no role changes: the last plan stays in force.
+// Every entry runs a planner, and only the holder of a lease in the table plans. It runs the role
+// policy every few seconds and writes the resulting changes as the next plan, in a transaction that
+// fails if another process has acquired the lease. While the table is down no role changes: the last
+// plan stays in effect.
 package planner
 
 import (
@@ -22,24 +21,24 @@
 )
 
 const (
-	// interval is the time between two plans: an engine that changes is away
-	// for seconds, so that deciding more often decides on the same facts.
+	// interval is the time between two runs of the policy. An engine that changes its role is out of
+	// service for seconds, so that a shorter interval would decide on the same data.
 	interval = 5 * time.Second
-	// writeMargin is how long the lease must last beyond the start of a write.
-	writeMargin = 2 * time.Second
-	writeLimit  = 2 * time.Second
+	// writeMargin is how long the lease must be valid from the start of a write.
+	writeMargin  = 2 * time.Second
+	writeTimeout = 2 * time.Second
 )
 
-// View is what the planner sees of the service.
+// View provides the state of a service to the planner.
 type View interface {
 	Engines() []carawayspread.RoleState
 	Demand(entries int) carawayspread.Demand
 }
 
-// Planner plans the roles of one service.
+// Planner plans the engine roles of one service.
 type Planner struct {
 	service string
-	view    func() View // nil while the service is not known
+	view    func() View // returns nil while the service is not known
 	entries func() int
 	policy  carawayspread.RolePolicy
 	lease   *lease.Lease
@@ -58,16 +57,16 @@
 	}
 }
 
-// Run plans whenever this process holds the lease, until ctx ends.
+// Run plans while this process holds the lease, until ctx ends.
 func (p *Planner) Run(ctx context.Context) error {
-	held := make(chan error, 1)
-	go func() { held <- p.lease.Run(ctx) }()
+	leaseEnded := make(chan error, 1)
+	go func() { leaseEnded <- p.lease.Run(ctx) }()
 	for {
 		select {
 		case <-p.clock.After(interval):
 			p.plan(ctx)
 		case <-ctx.Done():
-			return <-held
+			return <-leaseEnded
 		}
 	}
 }
@@ -77,8 +76,8 @@
 	if view == nil {
 		return
 	}
-	// The demand is taken in every round, so that a new holder of the lease
-	// does not plan by what came during its whole life.
+	// The demand is read in every round, so that a new holder of the lease does not plan with the
+	// demand since its start.
 	demand := view.Demand(max(1, p.entries()))
 	if !p.lease.Valid(writeMargin) {
 		return
@@ -87,7 +86,7 @@
 	if len(changes) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, writeLimit)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	if err := p.write(ctx, changes); err != nil {
 		p.log.WithError(err).Warn("plan not written")
@@ -101,22 +100,22 @@
 	if !ok {
 		return errNoLease
 	}
-	read, err := p.store.Read(ctx)
+	current, err := p.store.Read(ctx)
 	if err != nil {
 		return err
 	}
-	next, err := p.store.Write(ctx, check, read, merge(read.Steps(), changes))
+	next, err := p.store.Write(ctx, check, current, merge(current.Steps(), changes))
 	if err != nil {
 		return err
 	}
 	for _, change := range changes {
 		p.log.WithField("plan", next.Number()).WithField("endpoint", change.Endpoint).
-			WithField("from", change.From).WithField("to", change.To).Info("role planned")
+			WithField("from", change.From).WithField("to", change.To).Info("role change planned")
 	}
 	return nil
 }
 
-// merge replaces the step of every engine that changes and keeps the others.
+// merge replaces the steps of every engine whose role changes and keeps the other steps.
 func merge(old []planstore.Step, changes []carawayspread.RoleChange) []planstore.Step {
 	changed := map[carawayspread.EndpointID]bool{}
 	steps := make([]planstore.Step, 0, len(old)+len(changes))
--- a/internal/controller/planstore/bench_test.go
+++ b/internal/controller/planstore/bench_test.go
@@ -16,19 +16,19 @@
 	"carawayspread/internal/standin/table"
 )
 
-// BenchmarkReadPlan reports the bytes of the table's answers, without headers,
-// by the number of orders in the plan.
+// BenchmarkReadPlan reports the size of the table's response bodies by the number of orders in the
+// plan.
 func BenchmarkReadPlan(b *testing.B) {
 	for _, n := range []int{1, 100, 325} {
 		b.Run(fmt.Sprint("steps=", n), func(b *testing.B) {
 			ctx, service := context.Background(), table.New(carawayspread.SystemClock())
-			var bytes atomic.Int64
+			var bodyBytes atomic.Int64
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				answer := httptest.NewRecorder()
-				service.ServeHTTP(answer, r)
-				bytes.Add(int64(answer.Body.Len()))
-				w.WriteHeader(answer.Code)
-				_, _ = w.Write(answer.Body.Bytes())
+				recorder := httptest.NewRecorder()
+				service.ServeHTTP(recorder, r)
+				bodyBytes.Add(int64(recorder.Body.Len()))
+				w.WriteHeader(recorder.Code)
+				_, _ = w.Write(recorder.Body.Bytes())
 			}))
 			defer server.Close()
 			client := dynamodb.New(server.URL)
@@ -43,7 +43,7 @@
 			qt.Assert(b, err, qt.IsNil)
 			store := New(client, "s")
 			qt.Assert(b, client.Apply(ctx, carawayspread.Write{Item: carawayspread.Item{Key: store.key, Token: "t", Body: body}}), qt.IsNil)
-			bytes.Store(0)
+			bodyBytes.Store(0)
 			reads := 0
 			for b.Loop() {
 				plan, err := store.Read(ctx)
@@ -51,7 +51,7 @@
 				qt.Assert(b, plan.Steps(), qt.HasLen, n)
 				reads++
 			}
-			b.ReportMetric(float64(bytes.Load())/float64(reads), "answer-B/op")
+			b.ReportMetric(float64(bodyBytes.Load())/float64(reads), "answer-B/op")
 		})
 	}
 }
--- a/internal/controller/planstore/store_test.go
+++ b/internal/controller/planstore/store_test.go
@@ -21,10 +21,9 @@
 	return []Step{{Endpoint: "engine-1", Order: carawayspread.Order{ID: "1", Kind: carawayspread.OrderSetRole, Value: value}}}
 }
 
-// A planner reads the plan and is paused. Its lease passes on, the next planner
-// writes, and the first one wakes and writes what it had made. The engines must
-// keep the newer plan. The same holds where the successor has not written yet,
-// and for a planner that writes twice from one reading.
+// A planner reads the plan and is paused. Another planner acquires the lease and writes, and the first
+// one resumes and writes its plan: the newer plan must stay. The late write must also fail if the
+// successor has not written yet, and a planner must not write twice based on the same plan.
 func TestOutdatedPlannerWritesNothing(t *testing.T) {
 	service := table.New(carawayspread.SystemClock())
 	server := httptest.NewServer(service)
@@ -36,22 +35,22 @@
 	store := New(client, "s")
 
 	qt.Assert(t, first.Try(ctx), qt.IsNil)
-	paused, _ := first.Check()
-	none, err := store.Read(ctx)
+	outdatedCheck, _ := first.Check()
+	noPlan, err := store.Read(ctx)
 	qt.Assert(t, err, qt.IsNil)
 	service.LoseAnswers(1)
-	one, err := store.Write(ctx, paused, none, steps("prefill"))
-	qt.Assert(t, err, qt.IsNil, qt.Commentf("a lost answer is read back"))
-	_, err = store.Write(ctx, paused, none, steps("decode"))
+	firstPlan, err := store.Write(ctx, outdatedCheck, noPlan, steps("prefill"))
+	qt.Assert(t, err, qt.IsNil, qt.Commentf("a write with a lost response is read back"))
+	_, err = store.Write(ctx, outdatedCheck, noPlan, steps("decode"))
 	qt.Check(t, err, qt.ErrorIs, ErrOutdated)
 
 	qt.Check(t, second.Try(ctx), qt.ErrorIs, lease.ErrHeld)
 	clock.Advance(2 * term)
 	qt.Assert(t, second.Try(ctx), qt.IsNil)
-	_, err = store.Write(ctx, paused, one, steps("both"))
+	_, err = store.Write(ctx, outdatedCheck, firstPlan, steps("both"))
 	qt.Check(t, err, qt.ErrorIs, ErrOutdated)
-	current, _ := second.Check()
-	_, err = store.Write(ctx, current, one, steps("decode"))
+	currentCheck, _ := second.Check()
+	_, err = store.Write(ctx, currentCheck, firstPlan, steps("decode"))
 	qt.Assert(t, err, qt.IsNil)
 	got, err := store.Read(ctx)
 	qt.Assert(t, err, qt.IsNil)
