--- a/internal/controller/lease/lease.go
+++ b/internal/controller/lease/lease.go
@@ -43,9 +43,9 @@
 	held     atomic.Pointer[tenure] // nil while not held
 	lastSeen observation            // of another holder; used by Try only
 
-	// tableSeen records whether the table has responded. generation is the table generation that Try
-	// last observed. restoredAt is when a restore was last detected; zero while this process has
-	// seen only a generation that may be the first one.
+	// tableSeen records whether the table has responded. generation is the table generation that
+	// Try last observed. restoredAt is when a restore was last detected; zero while this process
+	// has seen only a generation that may be the first one.
 	tableSeen   bool
 	generation  uint64
 	restoredAt  time.Time
--- a/internal/controller/lease/lease_test.go
+++ b/internal/controller/lease/lease_test.go
@@ -27,7 +27,8 @@
 
 const term = 9 * time.Second
 
-// store wraps the table with a hook that runs once, after a write took effect and before it returns.
+// store wraps the table with a hook that runs once, after a write took effect and before it
+// returns.
 type store struct {
 	carawayspread.Table
 	service     *table.Table
@@ -97,8 +98,8 @@
 	qt.Check(t, l.Valid(0), qt.IsFalse)
 }
 
-// A write takes effect and its response is lost. Without the read-back the record names a holder that
-// does not consider itself one, and nobody can act for a whole term.
+// A write takes effect and its response is lost. Without the read-back the record names a holder
+// that does not consider itself one, and nobody can act for a whole term.
 func TestLostAnswerIsReadBack(t *testing.T) {
 	tests := map[string]int{"acquisition": 0, "renewal": 1}
 	for name, before := range tests {
@@ -138,8 +139,8 @@
 }
 
 // Runs random schedules of three processes, in which writes are slow, responses are lost and the
-// table is down. Two processes must never hold a valid lease at the same time, and no epoch may have
-// two holders.
+// table is down. Two processes must never hold a valid lease at the same time, and no epoch may
+// have two holders.
 func TestNeverTwoValidHolders(t *testing.T) {
 	s, clock := newStore(t)
 	rapid.Check(t, func(rt *rapid.T) {
--- a/internal/controller/lease/run.go
+++ b/internal/controller/lease/run.go
@@ -18,8 +18,8 @@
 
 func (e leaseRecord) term() time.Duration { return time.Duration(e.TermMs) * time.Millisecond }
 
-// Run acquires and renews the lease until ctx ends and then releases it. Delays have jitter, so that
-// processes that start together do not write at the same time.
+// Run acquires and renews the lease until ctx ends and then releases it. Delays have jitter, so
+// that processes that start together do not write at the same time.
 func (l *Lease) Run(ctx context.Context) error {
 	for {
 		_ = l.Try(ctx)
--- a/internal/controller/orderguard/guard.go
+++ b/internal/controller/orderguard/guard.go
@@ -2,14 +2,15 @@
 //
 // A sidecar may be paused between its check of the lease and the send, and resume when its
 // successor is already active. An engine that ignores fencing tokens, or lost them in a crash, then
-// accepts conflicting orders. A check before the send does not help, since the pause comes after it.
+// accepts conflicting orders. A check before the send does not help, since the pause comes after
+// it.
 //
 // The guard is a listener on a loopback address given in the settings. Only one process of the
 // instance can hold it. A paused process still holds it; the kernel closes it when the process has
 // ended. A process that has ended sends nothing more, and what it sent before is in the engine's
 // socket buffers. The settle wait gives the engine time to read it before the successor sends an
-// order. Sidecars acquire the guard first, then wait, then acquire the lease, so that no order of an
-// older epoch takes effect once the lease shows a newer one.
+// order. Sidecars acquire the guard first, then wait, then acquire the lease, so that no order of
+// an older epoch takes effect once the lease shows a newer one.
 package orderguard
 
 import (
--- a/internal/controller/orderguard/guard_test.go
+++ b/internal/controller/orderguard/guard_test.go
@@ -23,9 +23,9 @@
 	return fired
 }
 
-// A paused predecessor keeps its listener, so its successor must not acquire the guard, however long
-// it waits and even if nothing in the predecessor references the listener any more. It acquires the
-// guard as soon as the listener is closed, as after a kill.
+// A paused predecessor keeps its listener, so its successor must not acquire the guard, however
+// long it waits and even if nothing in the predecessor references the listener any more. It
+// acquires the guard as soon as the listener is closed, as after a kill.
 func TestGuardIsExclusive(t *testing.T) {
 	clock := &instantClock{now: time.Unix(0, 0)}
 	first, err := Acquire(context.Background(), "127.0.0.1:0", clock)
--- a/internal/controller/planfollower/follower.go
+++ b/internal/controller/planfollower/follower.go
@@ -1,10 +1,10 @@
 // Package planfollower executes the newest plan of a service at the engines of one sidecar.
 //
 // A sidecar reads the plan every few seconds and holds the lease of an engine only while it has
-// orders for it: idle sidecars write nothing, whereas renewals of 325 leases would take a considerable
-// share of the table's writes. A newer plan cancels the execution of an older one between two steps
-// or during a wait; a change that an engine has started is awaited before the first step of the
-// newer plan.
+// orders for it: idle sidecars write nothing, whereas renewals of 325 leases would take a
+// considerable share of the table's writes. A newer plan cancels the execution of an older one
+// between two steps or during a wait; a change that an engine has started is awaited before the
+// first step of the newer plan.
 package planfollower
 
 import (
--- a/internal/controller/planfollower/follower_test.go
+++ b/internal/controller/planfollower/follower_test.go
@@ -79,8 +79,8 @@
 func (shortWaitClock) After(time.Duration) <-chan time.Time { return time.After(time.Millisecond) }
 
 // A plan has orders for two engines, one of them at another sidecar. A step fails at first, and the
-// next one must wait for it. Another step of the plan never takes effect: a newer plan must cancel it
-// and be executed, and no later step of the older plan may follow. Without remaining work, the
+// next one must wait for it. Another step of the plan never takes effect: a newer plan must cancel
+// it and be executed, and no later step of the older plan may follow. Without remaining work, the
 // authority over the engine is released.
 func TestNewerPlanEndsTheOlder(t *testing.T) {
 	server := httptest.NewServer(table.New(carawayspread.SystemClock()))
--- a/internal/controller/planner/planner.go
+++ b/internal/controller/planner/planner.go
@@ -2,8 +2,8 @@
 //
 // Every entry runs a planner, and only the holder of a lease in the table plans. It runs the role
 // policy every few seconds and writes the resulting changes as the next plan, in a transaction that
-// fails if another process has acquired the lease. While the table is down no role changes: the last
-// plan stays in effect.
+// fails if another process has acquired the lease. While the table is down no role changes: the
+// last plan stays in effect.
 package planner
 
 import (
@@ -21,8 +21,8 @@
 )
 
 const (
-	// interval is the time between two runs of the policy. An engine that changes its role is out of
-	// service for seconds, so that a shorter interval would decide on the same data.
+	// interval is the time between two runs of the policy. An engine that changes its role is out
+	// of service for seconds, so that a shorter interval would decide on the same data.
 	interval = 5 * time.Second
 	// writeMargin is how long the lease must be valid from the start of a write.
 	writeMargin  = 2 * time.Second
--- a/internal/controller/planstore/store.go
+++ b/internal/controller/planstore/store.go
@@ -3,9 +3,9 @@
 //
 // A planner may be paused, lose its lease to another process, and resume with a plan based on
 // outdated data, so that engines would receive alternating orders. Therefore the plan is written in
-// one transaction with a check that no other process has acquired the lease, and with a condition on
-// the revision that the planner read: a late write cannot replace a plan that its planner has not
-// seen.
+// one transaction with a check that no other process has acquired the lease, and with a condition
+// on the revision that the planner read: a late write cannot replace a plan that its planner has
+// not seen.
 package planstore
 
 import (
@@ -71,8 +71,9 @@
 }
 
 // Write replaces the previous plan, as Read returned it, with the next one. lease is the condition
-// that no other process has acquired the lease; it is part of the transaction. After any error other
-// than ErrOutdated the outcome is unknown, and the planner reads the plan before it plans again.
+// that no other process has acquired the lease; it is part of the transaction. After any error
+// other than ErrOutdated the outcome is unknown, and the planner reads the plan before it plans
+// again.
 func (s *Store) Write(ctx context.Context, lease carawayspread.Write, previous Plan, steps []Step) (Plan, error) {
 	body, err := json.Marshal(steps)
 	if err != nil {
--- a/internal/controller/planstore/store_test.go
+++ b/internal/controller/planstore/store_test.go
@@ -21,9 +21,9 @@
 	return []Step{{Endpoint: "engine-1", Order: carawayspread.Order{ID: "1", Kind: carawayspread.OrderSetRole, Value: value}}}
 }
 
-// A planner reads the plan and is paused. Another planner acquires the lease and writes, and the first
-// one resumes and writes its plan: the newer plan must stay. The late write must also fail if the
-// successor has not written yet, and a planner must not write twice based on the same plan.
+// A planner reads the plan and is paused. Another planner acquires the lease and writes, and the
+// first one resumes and writes its plan: the newer plan must stay. The late write must also fail if
+// the successor has not written yet, and a planner must not write twice based on the same plan.
 func TestOutdatedPlannerWritesNothing(t *testing.T) {
 	service := table.New(carawayspread.SystemClock())
 	server := httptest.NewServer(service)
--- a/internal/controller/rolecontroller/controller.go
+++ b/internal/controller/rolecontroller/controller.go
@@ -1,12 +1,11 @@
-// Package rolecontroller has engines change their roles where a policy wants it, from
-// one process at a time.
+// Package rolecontroller changes the roles of engines as a policy requires, from one process at a
+// time.
 //
-// Every process plans by what it knows itself. The one that wants a change takes
-// a lease, whose number it gives with each order, and lets it lapse: orders are
-// rare, and a lease that is kept up would cost calls to the store all day. A
-// successor waits for longer than the lease lasts, so that orders of two
-// processes are never close together; the number lets engines refuse a process
-// that was suspended in between.
+// Every process plans with its own view of the engines. A process that requires a change acquires a
+// lease, sends the fencing token of the lease with each order, and lets the lease expire: orders
+// are rare, and renewals would cost calls to the table all day. A successor waits for longer than
+// the lease term, so that orders of two processes are never close together in time. The fencing
+// token lets engines reject a process that was suspended in between.
 package rolecontroller
 
 import (
@@ -24,28 +23,27 @@
 )
 
 const (
-	// planEvery is the time between two looks: some ten of them in what a change
-	// takes.
+	// planEvery is the mean time between two runs of the policy; a role change takes about ten
+	// times as long.
 	planEvery = 300 * time.Millisecond
-	// tryEvery is the pause after a lease that was not to be had.
+	// tryEvery is the delay after a failed attempt to acquire the lease.
 	tryEvery = 3 * time.Second
-	// term is how long the lease lasts, and margin what must be left of it before
-	// an order is sent: between the last order of a process and the first of
-	// another are seven seconds, more than twice what engines take for two holders
-	// at one time.
+	// term is how long the lease is valid, and margin is the validity that must remain when an
+	// order is sent. The last order of one process and the first order of another are thus seven
+	// seconds apart, more than twice the gap below which engines assume two concurrent holders.
 	term   = 12 * time.Second
 	margin = 8 * time.Second
-	// callTimeout bounds one call to the store or to an engine.
+	// callTimeout bounds one call to the lease or to an engine.
 	callTimeout = time.Second
-	// awayFor bounds how long an engine is out of use for a change that its
-	// entry never shows.
-	awayFor = 12 * time.Second
+	// suspendFor bounds how long an engine is suspended for a change that its list entry never
+	// shows.
+	suspendFor = 12 * time.Second
 )
 
-// partition is where the lease is kept.
+// partition is the table partition of the lease.
 const partition = "roles"
 
-// Controller is one process's side. Run is called once.
+// Controller changes the roles of engines from one process. Run is called once.
 type Controller struct {
 	source  carawayspread.RoleSource
 	policy  func() carawayspread.RolePolicy
@@ -56,10 +54,10 @@
 	set     *metrics.Set
 
 	policies map[string]carawayspread.RolePolicy // by service
-	notUntil time.Time                           // when the lease is tried next
+	nextTry  time.Time                           // earliest time of the next attempt to acquire the lease
 }
 
-// New returns a keeper of the engines that the source knows.
+// New returns a controller of the engines that the source provides.
 func New(source carawayspread.RoleSource, policy func() carawayspread.RolePolicy, table carawayspread.Table,
 	engines func(carawayspread.Endpoint) carawayspread.Engine, clock carawayspread.Clock, l *decisionlog.Log, set *metrics.Set,
 ) *Controller {
@@ -69,97 +67,96 @@
 	}
 }
 
-// Run plans until ctx ends.
-func (k *Controller) Run(ctx context.Context) error {
+// Run plans role changes and sends the orders for them until ctx ends.
+func (c *Controller) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-k.clock.After(planEvery*9/10 + rand.N(planEvery/5)):
+		case <-c.clock.After(planEvery*9/10 + rand.N(planEvery/5)):
 		}
-		k.look(ctx)
+		c.planAll(ctx)
 	}
 }
 
-func (k *Controller) look(ctx context.Context) {
-	for _, service := range k.source.Roles() {
-		policy := k.policies[service.Service]
+func (c *Controller) planAll(ctx context.Context) {
+	for _, service := range c.source.Roles() {
+		policy := c.policies[service.Service]
 		if policy == nil {
-			policy = k.policy()
-			k.policies[service.Service] = policy
+			policy = c.policy()
+			c.policies[service.Service] = policy
 		}
 		changes := policy.Plan(service.Engines, service.Demand)
-		if len(changes) > 0 && k.holds(ctx) {
+		if len(changes) > 0 && c.ensureLease(ctx) {
 			for _, change := range changes {
-				k.give(ctx, service, change)
+				c.sendOrder(ctx, service, change)
 			}
 		}
 	}
 }
 
-// holds reports whether orders may be given now, and takes the lease for it.
-func (k *Controller) holds(ctx context.Context) bool {
-	if k.lease.Valid(margin) {
+// ensureLease acquires the lease if necessary and reports whether orders may be sent now.
+func (c *Controller) ensureLease(ctx context.Context) bool {
+	if c.lease.Valid(margin) {
 		return true
 	}
-	now := k.clock.Now()
-	if now.Before(k.notUntil) {
+	now := c.clock.Now()
+	if now.Before(c.nextTry) {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	err := k.lease.Try(ctx)
-	line := decisionlog.Start("orderLease").Int("fence", int64(k.lease.Epoch()))
+	err := c.lease.Try(ctx)
+	line := decisionlog.Start("orderLease").Int("fence", int64(c.lease.Epoch()))
 	if err != nil {
-		k.notUntil = now.Add(tryEvery)
+		c.nextTry = now.Add(tryEvery)
 		if !errors.Is(err, lease.ErrHeld) {
-			k.log.Write(line.Text("error", err.Error()))
+			c.log.Write(line.Text("error", err.Error()))
 		}
 		return false
 	}
-	k.log.Write(line.Text("outcome", "held"))
-	return k.lease.Valid(margin)
+	c.log.Write(line.Text("outcome", "held"))
+	return c.lease.Valid(margin)
 }
 
-// give sends one order. What becomes of one without an answer is not known: it
-// may be carried out later. The engine's entry shows it.
-func (k *Controller) give(ctx context.Context, service carawayspread.ServiceRoles, change carawayspread.RoleChange) {
+// sendOrder sends one order. The outcome of an order without a response is unknown: the engine may
+// execute it later, which its list entry then shows.
+func (c *Controller) sendOrder(ctx context.Context, service carawayspread.ServiceRoles, change carawayspread.RoleChange) {
 	endpoint, known := service.Endpoints[change.Endpoint]
-	if !known || !k.lease.Valid(margin) {
+	if !known || !c.lease.Valid(margin) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	fence := k.lease.Epoch()
-	_, err := k.engines(endpoint).Order(ctx, carawayspread.Order{
+	fence := c.lease.Epoch()
+	_, err := c.engines(endpoint).Order(ctx, carawayspread.Order{
 		ID: uuid.NewString(), Kind: carawayspread.OrderSetRole, Value: string(change.To), Fence: fence,
 	})
-	k.set.GetOrCreateCounter(`gateway_role_orders_total{to="` + string(change.To) + `"}`).Inc()
+	c.set.GetOrCreateCounter(`gateway_role_orders_total{to="` + string(change.To) + `"}`).Inc()
 	line := decisionlog.Start("role").Text("service", service.Service).Text("endpoint", string(change.Endpoint)).
 		Text("from", string(change.From)).Text("to", string(change.To)).Int("fence", int64(fence))
 	if refused, ok := carawayspread.AsError(err); ok && refused.NotRun() {
-		k.log.Write(line.Text("outcome", "refused").Text("error", err.Error()))
+		c.log.Write(line.Text("outcome", "refused").Text("error", err.Error()))
 		if refused.Code() == carawayspread.CodeStale {
-			k.giveUp(ctx)
+			c.releaseLease(ctx)
 		}
 		return
 	}
-	k.source.Suspend(change.Endpoint, awayFor)
+	c.source.Suspend(change.Endpoint, suspendFor)
 	if err != nil {
-		k.log.Write(line.Text("outcome", "unknown").Text("error", err.Error()))
+		c.log.Write(line.Text("outcome", "unknown").Text("error", err.Error()))
 		return
 	}
-	k.log.Write(line.Text("outcome", "ordered"))
+	c.log.Write(line.Text("outcome", "ordered"))
 }
 
-// giveUp drops a lease whose number an engine has seen a higher one than.
+// releaseLease releases the lease after an engine has rejected its fencing token as outdated.
 //
-// Failure: the number is behind, though the lease seems to hold. Symptom: every
-// order is refused, again and again, under the same number. The next holding has
-// a higher one.
-func (k *Controller) giveUp(ctx context.Context) {
-	k.notUntil = k.clock.Now().Add(term)
-	if err := k.lease.Release(ctx); err != nil {
-		k.log.Write(decisionlog.Start("orderLease").Text("outcome", "given up").Text("error", err.Error()))
+// The token may be outdated although the lease appears valid; every further order would be rejected
+// with the same token. The next tenure has a higher one.
+func (c *Controller) releaseLease(ctx context.Context) {
+	c.nextTry = c.clock.Now().Add(term)
+	if err := c.lease.Release(ctx); err != nil {
+		c.log.Write(decisionlog.Start("orderLease").Text("outcome", "given up").Text("error", err.Error()))
 	}
 }
--- a/internal/controller/rolecontroller/controller_test.go
+++ b/internal/controller/rolecontroller/controller_test.go
@@ -18,28 +18,29 @@
 	"carawayspread/internal/standin/table"
 )
 
-// fleet is what two keepers share: a store and one engine.
-type fleet struct {
-	clock  *clockwork.FakeClock
-	table  carawayspread.Table
-	orders []carawayspread.Order
-	err    error         // of the next order
-	takes  time.Duration // each order
-	more   bool          // a second engine is wanted too
-	aside  []carawayspread.EndpointID
-	out    strings.Builder
+// fakeFleet provides what two controllers share: a table, a policy and engines.
+type fakeFleet struct {
+	clock      *clockwork.FakeClock
+	table      carawayspread.Table
+	orders     []carawayspread.Order
+	err        error         // returned for each order
+	orderTime  time.Duration // by which each order advances the clock
+	changeBoth bool          // a second engine is to change too
+	suspended  []carawayspread.EndpointID
+	logOutput  strings.Builder
 }
 
-func newFleet(t *testing.T) *fleet {
+func newFakeFleet(t *testing.T) *fakeFleet {
 	t.Helper()
 	service := httptest.NewServer(table.New(carawayspread.SystemClock()))
 	client := dynamodb.New(service.URL)
 	t.Cleanup(func() { client.Close(); service.Close() })
-	return &fleet{clock: clockwork.NewFakeClockAt(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)), table: client}
+	return &fakeFleet{clock: clockwork.NewFakeClockAt(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)), table: client}
 }
 
-// Roles and Plan: the engine is always wanted as a reader.
-func (f *fleet) Roles() []carawayspread.ServiceRoles {
+// Roles returns one service with two engines. Plan always requires the role prefill for the engine
+// e.
+func (f *fakeFleet) Roles() []carawayspread.ServiceRoles {
 	return []carawayspread.ServiceRoles{{
 		Service: "s", Endpoints: map[carawayspread.EndpointID]carawayspread.Endpoint{
 			"e": carawayspread.NewEndpoint("e", "s", "z", "10.0.0.1:1", false),
@@ -48,74 +49,76 @@
 	}}
 }
 
-func (f *fleet) Plan([]carawayspread.RoleState, carawayspread.Demand) []carawayspread.RoleChange {
+func (f *fakeFleet) Plan([]carawayspread.RoleState, carawayspread.Demand) []carawayspread.RoleChange {
 	changes := []carawayspread.RoleChange{{Endpoint: "e", From: carawayspread.RoleDecode, To: carawayspread.RolePrefill}}
-	if f.more {
+	if f.changeBoth {
 		changes = append(changes, carawayspread.RoleChange{Endpoint: "f", From: carawayspread.RoleDecode, To: carawayspread.RolePrefill})
 	}
 	return changes
 }
 
-func (f *fleet) Suspend(id carawayspread.EndpointID, _ time.Duration) { f.aside = append(f.aside, id) }
+func (f *fakeFleet) Suspend(id carawayspread.EndpointID, _ time.Duration) {
+	f.suspended = append(f.suspended, id)
+}
 
-func (f *fleet) Order(_ context.Context, order carawayspread.Order) (carawayspread.EngineState, error) {
+func (f *fakeFleet) Order(_ context.Context, order carawayspread.Order) (carawayspread.EngineState, error) {
 	f.orders = append(f.orders, order)
-	f.clock.Advance(f.takes)
+	f.clock.Advance(f.orderTime)
 	return carawayspread.EngineState{}, f.err
 }
 
-func (f *fleet) State(context.Context) (carawayspread.EngineState, error) {
+func (f *fakeFleet) State(context.Context) (carawayspread.EngineState, error) {
 	return carawayspread.EngineState{}, nil
 }
 
-// keeper returns one process's side, and its lines.
-func (f *fleet) keeper() (*Controller, *decisionlog.Log) {
-	l := decisionlog.New(&f.out)
+// newController returns the controller of one process and its log.
+func (f *fakeFleet) newController() (*Controller, *decisionlog.Log) {
+	l := decisionlog.New(&f.logOutput)
 	return New(f, func() carawayspread.RolePolicy { return f }, f.table,
 		func(carawayspread.Endpoint) carawayspread.Engine { return f }, f.clock, l, metrics.NewSet()), l
 }
 
-// Engines never hear two processes close to each other: one that wants a change
-// while another may still give orders waits for longer than the lease lasts, and
-// then gives a higher number. The first, which was suspended meanwhile, gives no
-// order any more.
-func TestOneProcessGivesOrders(t *testing.T) {
-	f := newFleet(t)
-	first, _ := f.keeper()
-	second, _ := f.keeper()
-	first.look(context.Background())
+// Engines must not receive orders of two processes close together in time: a process that requires
+// a change while another one may still send orders waits for longer than the lease term and then
+// uses a higher fencing token. The first process, which was suspended meanwhile, sends no more
+// orders.
+func TestOneProcessSendsOrders(t *testing.T) {
+	f := newFakeFleet(t)
+	first, _ := f.newController()
+	second, _ := f.newController()
+	first.planAll(context.Background())
 	qt.Assert(t, f.orders, qt.HasLen, 1)
 	began := f.clock.Now()
 	for len(f.orders) == 1 {
 		f.clock.Advance(time.Second)
-		second.look(context.Background())
+		second.planAll(context.Background())
 		qt.Assert(t, f.clock.Now().Sub(began) < time.Minute, qt.IsTrue)
 	}
 	qt.Check(t, f.clock.Now().Sub(began) > term, qt.IsTrue)
 	qt.Check(t, f.orders[1].Fence > f.orders[0].Fence, qt.IsTrue)
-	first.look(context.Background())
+	first.planAll(context.Background())
 	qt.Check(t, f.orders, qt.HasLen, 2)
 }
 
-// A process that was held up while it gave orders gives no more of them: its
-// lease may be another's before the next would arrive.
+// A process that was delayed while it sent an order must not send the next one: another process may
+// have acquired the lease before that order would arrive.
 func TestOrdersEndWithTheLease(t *testing.T) {
-	f := newFleet(t)
-	f.more, f.takes = true, 6*time.Second
-	k, _ := f.keeper()
-	k.look(context.Background())
+	f := newFakeFleet(t)
+	f.changeBoth, f.orderTime = true, 6*time.Second
+	c, _ := f.newController()
+	c.planAll(context.Background())
 	qt.Check(t, f.orders, qt.HasLen, 1)
 }
 
-// An engine that has seen a higher number is not asked again under this one: the
-// process gives its lease up, waits, and comes back with a higher number.
-func TestNumberThatIsBehindIsDropped(t *testing.T) {
-	f := newFleet(t)
-	f.more = true
+// An engine that has seen a higher fencing token must not receive the outdated one again: the
+// process releases its lease, waits, and continues with a higher token.
+func TestOutdatedFencingTokenIsDropped(t *testing.T) {
+	f := newFakeFleet(t)
+	f.changeBoth = true
 	f.err = carawayspread.NewError(carawayspread.CodeStale, "a higher number was seen", carawayspread.NotRun())
-	k, _ := f.keeper()
+	c, _ := f.newController()
 	for range 30 {
-		k.look(context.Background())
+		c.planAll(context.Background())
 		f.clock.Advance(time.Second)
 	}
 	qt.Assert(t, len(f.orders) > 1, qt.IsTrue)
@@ -124,17 +127,17 @@
 		seen[order.Fence]++
 	}
 	for fence, orders := range seen {
-		qt.Check(t, orders, qt.Equals, 1, qt.Commentf("number %d", fence))
+		qt.Check(t, orders, qt.Equals, 1, qt.Commentf("fencing token %d", fence))
 	}
 }
 
-// The same process may go on; its number stays the same, and each order has a
-// name of its own.
-func TestHolderGoesOn(t *testing.T) {
-	f := newFleet(t)
-	k, _ := f.keeper()
+// A process that holds the lease may send further orders with the same fencing token; each order
+// has its own id.
+func TestHolderKeepsSendingOrders(t *testing.T) {
+	f := newFakeFleet(t)
+	c, _ := f.newController()
 	for range 20 {
-		k.look(context.Background())
+		c.planAll(context.Background())
 		f.clock.Advance(time.Second)
 	}
 	qt.Assert(t, len(f.orders) > 10, qt.IsTrue)
@@ -142,13 +145,14 @@
 	qt.Check(t, f.orders[0].ID, qt.Not(qt.Equals), f.orders[1].ID)
 }
 
-// Requests keep off an engine that may be changing. One that refused the order
-// goes on being used; of one that gave no answer nobody knows.
+// An engine that may be changing its role is suspended, so that it gets no requests. An engine that
+// rejected the order stays in use; one that did not respond is suspended, since it may have
+// accepted.
 func TestOutcomeOfAnOrder(t *testing.T) {
 	tests := map[string]struct {
-		err     error
-		aside   int
-		outcome string
+		err       error
+		suspended int
+		outcome   string
 	}{
 		"accepted": {nil, 1, "outcome=ordered"},
 		"refused":  {carawayspread.NewError(carawayspread.CodeOverloaded, "busy", carawayspread.NotRun()), 0, "outcome=refused"},
@@ -156,13 +160,13 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t)
+			f := newFakeFleet(t)
 			f.err = test.err
-			k, l := f.keeper()
-			k.look(context.Background())
+			c, l := f.newController()
+			c.planAll(context.Background())
 			l.Flush()
-			qt.Check(t, f.aside, qt.HasLen, test.aside)
-			qt.Check(t, f.out.String(), qt.Contains, test.outcome)
+			qt.Check(t, f.suspended, qt.HasLen, test.suspended)
+			qt.Check(t, f.logOutput.String(), qt.Contains, test.outcome)
 		})
 	}
 }
