--- a/internal/connection/storetime/storetime.go
+++ b/internal/connection/storetime/storetime.go
@@ -71,9 +71,9 @@
 	return max(0, now-storeTime), known && storeTime > 0
 }
 
-// Slack returns the part of the bound that allows for drift since the best observation; false if
-// there is none.
-func (c *Clock) Slack() (time.Duration, bool) {
+// DriftAllowance returns the part of the bound that allows for drift since the best observation;
+// false if there is none.
+func (c *Clock) DriftAllowance() (time.Duration, bool) {
 	now := c.uptime.Uptime()
 	c.mu.Lock()
 	defer c.mu.Unlock()
