--- a/cmd/gateway/configuration_test.go
+++ b/cmd/gateway/configuration_test.go
@@ -66,7 +66,7 @@
 	r.routing = t
 }
 
-func (r *routed) Listed(all []carawayspread.Endpoint) {
+func (r *routed) SetEndpoints(all []carawayspread.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.endpoints = len(all)
--- a/cmd/gateway/gateway_test.go
+++ b/cmd/gateway/gateway_test.go
@@ -103,7 +103,7 @@
 	clock, exchange := carawayspread.SystemClock(), direct.New()
 	var err error
 	storeTime := storetime.New(uptime.Clock{})
-	store := rowsclient.New(exchange, f.settings.Store(), rowsclient.WithClock(uptime.Clock{}, storeTime.Observe))
+	store := rowsclient.New(exchange, f.settings.Store(), rowsclient.WithClockObserver(uptime.Clock{}, storeTime.Observe))
 	f.daemon, err = gatewayd.New(f.settings, clock, quiet, f.out, gatewayd.Ports{
 		Exchange: exchange, Protocol: wire.Protocol{},
 		Source: func(sink *gatewayd.Daemon) follower.Source {
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -65,7 +65,7 @@
 	debug.SetMemoryLimit(int64(memoryUsed * float64(s.Memory())))
 	clock, exchange := carawayspread.SystemClock(), direct.New()
 	storeTime := storetime.New(uptime.Clock{})
-	store := rows.New(exchange, s.Store(), rows.WithClock(uptime.Clock{}, storeTime.Observe), rows.WithLog(log.Log))
+	store := rows.New(exchange, s.Store(), rows.WithClockObserver(uptime.Clock{}, storeTime.Observe), rows.WithLog(log.Log))
 	var usage carawayspread.UsageSink
 	if u := s.Usage(); u != nil {
 		usage = cloud.New(exchange, u.Address(), s.ID())
--- a/internal/daemon/gatewayd/daemon.go
+++ b/internal/daemon/gatewayd/daemon.go
@@ -264,8 +264,8 @@
 	d.name(t)
 }
 
-// Listed takes all endpoints.
-func (d *Daemon) Listed(endpoints []carawayspread.Endpoint) {
+// SetEndpoints takes all endpoints.
+func (d *Daemon) SetEndpoints(endpoints []carawayspread.Endpoint) {
 	d.gateway.SetEndpoints(endpoints)
 	if len(endpoints) > 0 && !d.listed.Swap(true) {
 		d.log.WithField("endpoints", len(endpoints)).Info("endpoints known")
