--- a/internal/process/entry/attempt.go
+++ b/internal/process/entry/attempt.go
@@ -87,15 +87,15 @@
 	}
 	answer.setResumeHeaders(header)
 	got, err := e.client.Do(ctx, sidecarhttp.Attempt{
-		ID:        c.ID() + "-" + strconv.Itoa(n),
-		Endpoint:  slot.Endpoint().ID(),
-		Address:   slot.Endpoint().Address(),
-		Method:    c.Method(),
-		Path:      c.Path(),
-		Header:    header,
-		Body:      c.Body(),
-		Remaining: e.slotDeadline(c, n).Sub(e.clock.Now()),
-		Once:      c.AtMostOnce(),
+		ID:         c.ID() + "-" + strconv.Itoa(n),
+		Endpoint:   slot.Endpoint().ID(),
+		Address:    slot.Endpoint().Address(),
+		Method:     c.Method(),
+		Path:       c.Path(),
+		Header:     header,
+		Body:       c.Body(),
+		Remaining:  e.slotDeadline(c, n).Sub(e.clock.Now()),
+		AtMostOnce: c.AtMostOnce(),
 	})
 	if err != nil {
 		return toError(err), time.Time{}
