--- a/internal/controller/usagereporter/reporter.go
+++ b/internal/controller/usagereporter/reporter.go
@@ -113,7 +113,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			r.leadership.Leave()
+			r.leadership.ResignOnShutdown()
 			return ctx.Err()
 		case <-r.deps.Clock.After(tickEvery*9/10 + rand.N(tickEvery/5)):
 		}
@@ -278,7 +278,7 @@
 }
 
 func (r *Reporter) line(window int64) *decisionlog.Line {
-	return r.leadership.Line("usage").Int("window", window)
+	return r.leadership.LogLine("usage").Int("window", window)
 }
 
 func (r *Reporter) count(outcome string) {
--- a/internal/daemon/gatewayd/daemon.go
+++ b/internal/daemon/gatewayd/daemon.go
@@ -22,7 +22,7 @@
 	"carawayspread/internal/connection/knowledge"
 	"carawayspread/internal/connection/peers"
 	"carawayspread/internal/connection/storetime"
-	"carawayspread/internal/controller/rolekeeper"
+	"carawayspread/internal/controller/rolecontroller"
 	"carawayspread/internal/daemon/server"
 	"carawayspread/internal/decision/clocksync"
 	"carawayspread/internal/decision/zonereader"
@@ -77,7 +77,7 @@
 	election       *zonereader.Election
 	follower       *follower.Follower
 	learner        *knowledge.Learner
-	roleController *rolekeeper.Keeper // nil if roles do not change
+	roleController *rolecontroller.Controller // nil if roles do not change
 	syncedClock    *clocksync.Clock
 	usage          *usageAccounting // nil if no usage is reported
 	endpointsKnown atomic.Bool
@@ -213,7 +213,7 @@
 		return
 	}
 	env := carawayspread.Environment{Clock: d.clock, Zone: d.settings.Zone()}
-	d.roleController = rolekeeper.New(source, func() carawayspread.RolePolicy { return policy(env) },
+	d.roleController = rolecontroller.New(source, func() carawayspread.RolePolicy { return policy(env) },
 		ports.Table, ports.Engine, d.clock, d.decisionLog, d.gateway.Metrics())
 }
 
@@ -268,8 +268,8 @@
 	d.addWorkspaceNames(t)
 }
 
-// Listed applies the list of all endpoints.
-func (d *Daemon) Listed(endpoints []carawayspread.Endpoint) {
+// SetEndpoints applies the list of all endpoints.
+func (d *Daemon) SetEndpoints(endpoints []carawayspread.Endpoint) {
 	d.gateway.SetEndpoints(endpoints)
 	if len(endpoints) > 0 && !d.endpointsKnown.Swap(true) {
 		d.log.WithField("endpoints", len(endpoints)).Info("endpoints known")
