--- a/internal/daemon/gatewayd/daemon.go
+++ b/internal/daemon/gatewayd/daemon.go
@@ -138,7 +138,8 @@
 	return d, trace.Wrap(d.listen())
 }
 
-// setUpFollower creates what follows the changes of routes and endpoints.
+// setUpFollower creates the reader election, the follower of routes and endpoints, the learner that
+// pulls them from peers, and their metrics.
 func (d *Daemon) setUpFollower(ports Ports) {
 	s := d.settings
 	d.election = zonereader.New(d.peers.ID(), s.Zone(), s.Capacity(), s.Terms(), d.clock)
