--- a/internal/version/auditrecord/auditrecord.go
+++ b/internal/version/auditrecord/auditrecord.go
@@ -44,8 +44,8 @@
 	To      *change.Change        `json:"to,omitempty"`   // the change itself
 }
 
-// Encode returns the JSON form. If the record is too large for one item, the values of the change are
-// omitted and the list of what it touches is cut to maxTouches.
+// Encode returns the JSON form. If the record is too large for one item, the values of the change
+// are omitted and the list of what it touches is cut to maxTouches.
 func (a AuditRecord) Encode() ([]byte, error) {
 	body, err := json.Marshal(a)
 	if err == nil && len(body) > maxBytes {
--- a/internal/version/change/change_test.go
+++ b/internal/version/change/change_test.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// BenchmarkResident reports the heap bytes of a configuration per workspace and per class, the bytes
-// of a snapshot per workspace, and the bytes of a stored change.
+// BenchmarkResident reports the heap bytes of a configuration per workspace and per class, the
+// bytes of a snapshot per workspace, and the bytes of a stored change.
 func BenchmarkResident(b *testing.B) {
 	const n = 6800
 	for b.Loop() {
--- a/internal/version/changelog/linear_test.go
+++ b/internal/version/changelog/linear_test.go
@@ -37,8 +37,8 @@
 	code    carawayspread.Code    // of a refusal
 }
 
-// register models the log as a single version, raised only by a proposal made against it. A proposal
-// with an unknown outcome may have taken effect or not.
+// register models the log as a single version, raised only by a proposal made against it. A
+// proposal with an unknown outcome may have taken effect or not.
 var register = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{carawayspread.Version(0)} },
 	Step: func(state, input, output any) []any {
@@ -64,10 +64,9 @@
 
 // Five operators make changes concurrently, each against the newest version that it has read, while
 // answers to writes are lost and reads fail. The results must be linearizable: each version is made
-// by one operator only, no read returns a version older than an earlier one did, and no change takes
-// effect whose operator was told that it was refused.
-// In the second case the flaky table is wrapped by the decorators that daemons use, which read back,
-// retry and group requests themselves.
+// by one operator only, no read returns a version older than an earlier one did, and no change
+// takes effect whose operator was told that it was refused. In the second case the flaky table is
+// wrapped by the decorators that daemons use, which read back, retry and group requests themselves.
 func TestOperatorsAreLinearizable(t *testing.T) {
 	clock := fastClock{began: time.Now()}
 	tests := map[string]func(carawayspread.Table) carawayspread.Table{
@@ -141,7 +140,8 @@
 	qt.Check(t, porcupine.CheckOperations(model, events), qt.IsTrue)
 }
 
-// failureBurst is the number of consecutive requests that fail: enough for all writes of one attempt.
+// failureBurst is the number of consecutive requests that fail: enough for all writes of one
+// attempt.
 const failureBurst = 6
 
 // flakyTable loses answers in bursts; a write whose answer is lost still takes effect.
--- a/internal/version/changelog/log.go
+++ b/internal/version/changelog/log.go
@@ -25,8 +25,8 @@
 
 // Defaults of a Log.
 const (
-	// defaultSnapshotEvery gives 34 snapshots a day with 6,800 changes a day; a starting daemon reads
-	// at most two pages of changes after the snapshot.
+	// defaultSnapshotEvery gives 34 snapshots a day with 6,800 changes a day; a starting daemon
+	// reads at most two pages of changes after the snapshot.
 	defaultSnapshotEvery   = 200
 	defaultTimeout         = time.Second
 	defaultMaxWrites       = 3
@@ -81,9 +81,9 @@
 // was loaded. Reads are consistent: the version returned was the newest at some moment after the
 // call began.
 //
-// If a read fails, it returns the configuration reached so far, which may not be the newest. A daemon
-// that starts far behind keeps the progress of each call; otherwise a long log would have to be read
-// within one timeout.
+// If a read fails, it returns the configuration reached so far, which may not be the newest. A
+// daemon that starts far behind keeps the progress of each call; otherwise a long log would have to
+// be read within one timeout.
 func (l *Log) CatchUp(ctx context.Context, from *carawayspread.Config) (*carawayspread.Config, []record.Record, error) {
 	cfg := from
 	var records []record.Record
@@ -107,9 +107,9 @@
 	}
 }
 
-// loadNewerSnapshot returns the snapshot if it is newer than cfg, and cfg otherwise. A snapshot only
-// saves time: the log alone leads to the same configuration. Loading may take a quarter of the time
-// left until the deadline, so that a slow object store leaves time for the table.
+// loadNewerSnapshot returns the snapshot if it is newer than cfg, and cfg otherwise. A snapshot
+// only saves time: the log alone leads to the same configuration. Loading may take a quarter of the
+// time left until the deadline, so that a slow object store leaves time for the table.
 func (l *Log) loadNewerSnapshot(ctx context.Context, cfg *carawayspread.Config) *carawayspread.Config {
 	timeout := l.timeout
 	if deadline, ok := ctx.Deadline(); ok {
--- a/internal/version/changelog/log_test.go
+++ b/internal/version/changelog/log_test.go
@@ -90,9 +90,9 @@
 	return f.Table.Query(ctx, partition, after, limit)
 }
 
-// A daemon starts far behind while the object store hangs and reads of the table fail. Each call must
-// keep its progress until the newest version is reached; if a call kept all or nothing, the daemon
-// would never become ready.
+// A daemon starts far behind while the object store hangs and reads of the table fail. Each call
+// must keep its progress until the newest version is reached; if a call kept all or nothing, the
+// daemon would never become ready.
 func TestCatchUpKeepsProgress(t *testing.T) {
 	p := newTestStores(t)
 	held := appendChanges(t, New(p.table, p.objects, instantClock{}), 250)
@@ -145,9 +145,9 @@
 	}
 }
 
-// A change is written, but every answer of the table to a write is lost. The attempt must find its own
-// token in the table and report the change accepted; if it were reported failed, the operator would
-// make it a second time.
+// A change is written, but every answer of the table to a write is lost. The attempt must find its
+// own token in the table and report the change accepted; if it were reported failed, the operator
+// would make it a second time.
 func TestAppendLostAnswer(t *testing.T) {
 	p := newTestStores(t)
 	p.tableFaults.LoseAnswers(fault.UntilCleared)
--- a/internal/version/document/document.go
+++ b/internal/version/document/document.go
@@ -23,8 +23,8 @@
 	value  *hujson.Value // nil where the value is absent
 	offset int           // of the value, or of the object that lacks it
 	path   string
-	// suppressed marks a node for which and below which nothing more is reported: a fault of it or of
-	// a parent is recorded already, or the object that would contain it is absent.
+	// suppressed marks a node for which and below which nothing more is reported: a fault of it or
+	// of a parent is recorded already, or the object that would contain it is absent.
 	suppressed bool
 }
 
--- a/internal/version/document/values.go
+++ b/internal/version/document/values.go
@@ -10,8 +10,8 @@
 	"github.com/tailscale/hujson"
 )
 
-// literal returns the value if it is a literal of one of the kinds. A literal of another kind, or an
-// object or array, is reported as a finding.
+// literal returns the value if it is a literal of one of the kinds. A literal of another kind, or
+// an object or array, is reported as a finding.
 func (n Node) literal(want string, kinds ...hujson.Kind) (hujson.Literal, bool) {
 	if n.suppressed || n.value == nil {
 		return nil, false
--- a/internal/version/gatewaysettings/settings.go
+++ b/internal/version/gatewaysettings/settings.go
@@ -69,7 +69,8 @@
 	defaultBound = 2 * time.Second
 	minBound     = 200 * time.Millisecond
 	maxBound     = time.Minute
-	// defaultCores and defaultLinkMegabits are the capacity of an instance whose settings state none.
+	// defaultCores and defaultLinkMegabits are the capacity of an instance whose settings state
+	// none.
 	defaultCores        = 0.3
 	defaultLinkMegabits = 1000
 )
--- a/internal/version/record/fuzz_test.go
+++ b/internal/version/record/fuzz_test.go
@@ -9,8 +9,8 @@
 	"carawayspread/internal/version/snapshot"
 )
 
-// Bytes from another daemon or the store must decode into a complete record or snapshot, or fail. What
-// was decoded must encode and decode again.
+// Bytes from another daemon or the store must decode into a complete record or snapshot, or fail.
+// What was decoded must encode and decode again.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"version":3,"actor":"ana","at":"2026-12-02T09:30:00Z","attempt":"x","change":{"set":{"workspaces":[{"name":"a"}]}}}`))
 	f.Add([]byte(`{"version":9,"config":{"set":{"classes":[{"name":"a","whole":"1s","share":1}]}}}`))
--- a/internal/version/settings/parse.go
+++ b/internal/version/settings/parse.go
@@ -20,11 +20,11 @@
 	maxSlots       = 4096
 	minTimeout     = time.Millisecond
 	maxTimeout     = 24 * time.Hour
-	// minBetweenBytes exceeds the second between two heartbeats of a sidecar; a shorter timeout would
-	// abort every request that waits for its first byte.
+	// minBetweenBytes exceeds the second between two heartbeats of a sidecar; a shorter timeout
+	// would abort every request that waits for its first byte.
 	minBetweenBytes = 1500 * time.Millisecond
-	// minGrace exceeds the time that a daemon takes to shut down, so that running requests have time
-	// to finish.
+	// minGrace exceeds the time that a daemon takes to shut down, so that running requests have
+	// time to finish.
 	minGrace = 5 * time.Second
 )
 
@@ -82,8 +82,9 @@
 	}
 }
 
-// readRolePolicy reads the policy that plans the roles of engines. Without this setting no roles are
-// planned, since the deployment has not stated that its engines serve whole requests in every role.
+// readRolePolicy reads the policy that plans the roles of engines. Without this setting no roles
+// are planned, since the deployment has not stated that its engines serve whole requests in every
+// role.
 func (s *Settings) readRolePolicy(node document.Node) {
 	s.rolePolicy = "static"
 	if node.Exists() {
@@ -100,7 +101,8 @@
 	}
 }
 
-// read reads the platform section; with an empty role, that of the defaults, which has no addresses.
+// read reads the platform section; with an empty role, that of the defaults, which has no
+// addresses.
 func (p *Platform) read(node document.Node, role carawayspread.InstanceRole) {
 	node = node.Object("table", "tableName", "objects", "bucket", "instanceList", "weights", "awsRegion")
 	if role != "" {
@@ -220,8 +222,8 @@
 	}
 }
 
-// checkUnique reports a string that an earlier node has. Port 0 is never a duplicate, since it stands
-// for any free port.
+// checkUnique reports a string that an earlier node has. Port 0 is never a duplicate, since it
+// stands for any free port.
 func checkUnique(node document.Node, seen map[string]string) {
 	text, ok := node.UncheckedText()
 	if !ok {
--- a/internal/version/settings/settings_test.go
+++ b/internal/version/settings/settings_test.go
@@ -27,8 +27,9 @@
 	qt.Check(t, s.Instance().Endpoints, qt.HasLen, 2)
 }
 
-// Every fault of a file must be reported in one error, each at its line, so that an operator corrects
-// the file once. No fault may be reported again through values that depend on the faulty one.
+// Every fault of a file must be reported in one error, each at its line, so that an operator
+// corrects the file once. No fault may be reported again through values that depend on the faulty
+// one.
 func TestParseFindings(t *testing.T) {
 	tests := map[string]struct{ findings int }{
 		"tenMistakes": {findings: 10},
