--- a/internal/daemon/gatewayd/usage.go
+++ b/internal/daemon/gatewayd/usage.go
@@ -36,15 +36,15 @@
 	if s == nil || ports.Usage == nil {
 		return
 	}
-	maxIsolation := d.settings.Revoked()
+	maxIsolation := d.settings.RevocationBound()
 	if maxIsolation == 0 {
 		maxIsolation = time.Minute // without a revocation bound, an isolated process keeps serving
 	}
 	ledger := usage.New(d.peers.ID())
 	d.usage = &usageAccounting{
-		windows: s.Terms(), ledger: ledger,
-		publisher: usagepublisher.New(ledger, d.peers, s.Terms(), d.syncedClock.Now, d.clock),
-		reporter: usagereporter.New(d.settings.ID(), s.Terms(), usagereporter.Deps{
+		windows: s.Windows(), ledger: ledger,
+		publisher: usagepublisher.New(ledger, d.peers, s.Windows(), d.syncedClock.Now, d.clock),
+		reporter: usagereporter.New(d.settings.ID(), s.Windows(), usagereporter.Deps{
 			Ledger: ledger, Fleet: d.peers, Sink: ports.Usage, Table: ports.Table, Uptime: ports.Uptime,
 			SyncedTime: d.syncedClock.Now, Workspaces: d.workspaces, MaxIsolation: maxIsolation,
 			Backoff: backoff.New(d.clock, reportRetryBase, reportRetryLimit),
