--- a/internal/connection/adminapi/wire.go
+++ b/internal/connection/adminapi/wire.go
@@ -24,26 +24,26 @@
 	ParamDay     = "day"     // of the audit trail, such as 2026-12-02
 )
 
-// Changed answers an accepted change.
-type Changed struct {
+// ChangeResult answers an accepted change.
+type ChangeResult struct {
 	Version  carawayspread.Version `json:"version"`  // what the change made
 	Replaced carawayspread.Version `json:"replaced"` // what it was made against
 	Actor    string                `json:"actor"`
 	Attempt  string                `json:"attempt"`
 	Touches  []string              `json:"touches"`
-	Force
+	RolloutStatus
 }
 
-// Force tells where a version is in force. Accepted and in force are two things:
+// RolloutStatus tells where a version is in force. Accepted and in force are two things:
 // an accepted version never reverts, though an instance that cannot be reached
 // may not have it yet.
-type Force struct {
+type RolloutStatus struct {
 	// InForce is true where every listed instance confirmed the version.
 	InForce     bool          `json:"inForce"`
 	Unconfirmed []Unconfirmed `json:"unconfirmed,omitempty"`
-	// Unlisted says why the list of instances could not be read; InForce is
+	// ListError says why the list of instances could not be read; InForce is
 	// then false.
-	Unlisted string `json:"unlisted,omitempty"`
+	ListError string `json:"unlisted,omitempty"`
 }
 
 // Unconfirmed is an instance that did not confirm a version.
@@ -91,8 +91,8 @@
 	Service change.Service        `json:"service"`
 }
 
-// Checked answers config check.
-type Checked struct {
+// CheckResult answers config check.
+type CheckResult struct {
 	Version  carawayspread.Version `json:"version"` // what the change was checked against
 	Findings finding.List          `json:"findings"`
 }
@@ -113,7 +113,7 @@
 // Status answers status.
 type Status struct {
 	Version carawayspread.Version `json:"version"` // held by the answering instance
-	Force
+	RolloutStatus
 	Instances []Instance `json:"instances"`
 }
 
@@ -145,14 +145,14 @@
 	Crashed  bool   `json:"crashed,omitempty"`
 }
 
-// Drain asks for no new work on one endpoint, or on all of one instance.
-type Drain struct {
+// DrainRequest asks for no new work on one endpoint, or on all of one instance.
+type DrainRequest struct {
 	Instance string `json:"instance,omitempty"`
 	Endpoint string `json:"endpoint,omitempty"`
 }
 
-// Drained answers a drain.
-type Drained struct {
+// DrainResult answers a drain.
+type DrainResult struct {
 	Instance string `json:"instance"`
 	Endpoint string `json:"endpoint,omitempty"`
 	Running  uint32 `json:"running"` // requests that are still running and will finish
--- a/internal/process/admin/admin.go
+++ b/internal/process/admin/admin.go
@@ -26,8 +26,8 @@
 	recheck = time.Second
 )
 
-// Log is the configuration log.
-type Log interface {
+// ConfigLog is the configuration log.
+type ConfigLog interface {
 	Append(ctx context.Context, p changelog.Proposal) (record.Record, *carawayspread.Config, error)
 	History(ctx context.Context, after carawayspread.Version) ([]record.Record, error)
 	Audit(ctx context.Context, day time.Time, after string) ([]auditrecord.AuditRecord, string, error)
@@ -45,7 +45,7 @@
 // Admin is the administration API as an http.Handler. It is safe for
 // concurrent use.
 type Admin struct {
-	log    Log
+	log    ConfigLog
 	holder Holder
 	fleet  *fleet.Fleet
 	clock  carawayspread.Clock
@@ -60,7 +60,7 @@
 func WithLogger(logger log.Interface) Option { return func(a *Admin) { a.logger = logger } }
 
 // New returns the administration API.
-func New(configLog Log, holder Holder, instances *fleet.Fleet, clock carawayspread.Clock, opts ...Option) *Admin {
+func New(configLog ConfigLog, holder Holder, instances *fleet.Fleet, clock carawayspread.Clock, opts ...Option) *Admin {
 	a := &Admin{log: configLog, holder: holder, fleet: instances, clock: clock, logger: log.Log, mux: http.NewServeMux()}
 	for _, opt := range opts {
 		opt(a)
--- a/internal/process/admin/change.go
+++ b/internal/process/admin/change.go
@@ -61,14 +61,14 @@
 		return nil, err
 	}
 	a.holder.Adopt(cfg, accepted)
-	return adminapi.Changed{
+	return adminapi.ChangeResult{
 		Version: accepted.Version, Replaced: against, Actor: actor, Attempt: accepted.Attempt,
-		Touches: c.Touches(), Force: a.awaitForce(r.Context(), accepted.Version, wait),
+		Touches: c.Touches(), RolloutStatus: a.awaitForce(r.Context(), accepted.Version, wait),
 	}, nil
 }
 
 // awaitForce asks the instances until all confirm the version or the wait is over.
-func (a *Admin) awaitForce(ctx context.Context, version carawayspread.Version, wait time.Duration) adminapi.Force {
+func (a *Admin) awaitForce(ctx context.Context, version carawayspread.Version, wait time.Duration) adminapi.RolloutStatus {
 	until := a.clock.Now().Add(wait)
 	for {
 		force := a.fleet.RolloutStatus(ctx, version)
@@ -90,7 +90,7 @@
 		return nil, err
 	}
 	cfg := a.holder.Current(r.Context())
-	checked := adminapi.Checked{Version: cfg.Version(), Findings: finding.List{}}
+	checked := adminapi.CheckResult{Version: cfg.Version(), Findings: finding.List{}}
 	var list finding.List
 	if errors.As(change.Parse("", body).Check(cfg), &list) {
 		checked.Findings = list
--- a/internal/process/admin/read.go
+++ b/internal/process/admin/read.go
@@ -67,11 +67,11 @@
 	answer := adminapi.Status{Version: cfg.Version(), Instances: []adminapi.Instance{}}
 	states, err := a.fleet.Status(r.Context(), cfg.Version())
 	if err != nil {
-		answer.Unlisted = "the instance list cannot be read"
+		answer.ListError = "the instance list cannot be read"
 		return answer, nil
 	}
 	answer.Instances = states
-	answer.Force = fleet.SummarizeRollout(states)
+	answer.RolloutStatus = fleet.SummarizeRollout(states)
 	return answer, nil
 }
 
--- a/internal/process/admin/write.go
+++ b/internal/process/admin/write.go
@@ -16,23 +16,23 @@
 	"carawayspread/internal/version/document"
 )
 
-func readDrain(r *http.Request) (adminapi.Drain, error) {
+func readDrain(r *http.Request) (adminapi.DrainRequest, error) {
 	body, err := readBody(r)
 	if err != nil {
-		return adminapi.Drain{}, err
+		return adminapi.DrainRequest{}, err
 	}
 	root := document.Parse("", body).Object("instance", "endpoint")
-	target := adminapi.Drain{Instance: root.Field("instance").Text(), Endpoint: root.Field("endpoint").Text()}
+	target := adminapi.DrainRequest{Instance: root.Field("instance").Text(), Endpoint: root.Field("endpoint").Text()}
 	if err := root.Err(); err != nil {
-		return adminapi.Drain{}, malformed(err.Error())
+		return adminapi.DrainRequest{}, malformed(err.Error())
 	}
-	if target == (adminapi.Drain{}) {
-		return adminapi.Drain{}, malformed("needs an instance or an endpoint")
+	if target == (adminapi.DrainRequest{}) {
+		return adminapi.DrainRequest{}, malformed("needs an instance or an endpoint")
 	}
 	return target, nil
 }
 
-func touched(target adminapi.Drain) []string {
+func touched(target adminapi.DrainRequest) []string {
 	var touches []string
 	if target.Instance != "" {
 		touches = append(touches, "instance "+target.Instance)
--- a/internal/process/fleet/fleet.go
+++ b/internal/process/fleet/fleet.go
@@ -100,17 +100,17 @@
 }
 
 // RolloutStatus reports whether every listed instance confirmed a version.
-func (f *Fleet) RolloutStatus(ctx context.Context, version carawayspread.Version) adminapi.Force {
+func (f *Fleet) RolloutStatus(ctx context.Context, version carawayspread.Version) adminapi.RolloutStatus {
 	states, err := f.Status(ctx, version)
 	if err != nil {
-		return adminapi.Force{Unlisted: "the instance list cannot be read"}
+		return adminapi.RolloutStatus{ListError: "the instance list cannot be read"}
 	}
 	return SummarizeRollout(states)
 }
 
 // SummarizeRollout returns which of the listed instances have not confirmed the version.
-func SummarizeRollout(states []adminapi.Instance) adminapi.Force {
-	rollout := adminapi.Force{}
+func SummarizeRollout(states []adminapi.Instance) adminapi.RolloutStatus {
+	rollout := adminapi.RolloutStatus{}
 	for _, state := range states {
 		if state.Confirmed {
 			continue
@@ -127,17 +127,17 @@
 
 // Drain requests that the sidecar of an instance, or that of an endpoint, assigns no new work.
 // Draining is idempotent; if the response is lost, the call may be repeated.
-func (f *Fleet) Drain(ctx context.Context, target adminapi.Drain, actor string) (adminapi.Drained, error) {
+func (f *Fleet) Drain(ctx context.Context, target adminapi.DrainRequest, actor string) (adminapi.DrainResult, error) {
 	listed, err := f.list(ctx)
 	if err != nil {
-		return adminapi.Drained{}, carawayspread.NewError(
+		return adminapi.DrainResult{}, carawayspread.NewError(
 			carawayspread.CodeStoreUnavailable, "the instance list cannot be read; nothing was drained",
 			carawayspread.NotRun(), carawayspread.RetryAfter(defaultTimeout), carawayspread.CausedBy(err),
 		)
 	}
 	instance, ok := findInstance(listed, target)
 	if !ok {
-		return adminapi.Drained{}, carawayspread.NewError(
+		return adminapi.DrainResult{}, carawayspread.NewError(
 			carawayspread.CodeNotFound, "no listed instance has this instance or endpoint", carawayspread.NotRun(),
 		)
 	}
@@ -145,15 +145,15 @@
 	defer cancel()
 	response, err := f.dial(instance.Control).Drain(ctx, &control.DrainRequest{Endpoint: target.Endpoint, Actor: actor})
 	if err != nil {
-		return adminapi.Drained{}, carawayspread.NewError(
+		return adminapi.DrainResult{}, carawayspread.NewError(
 			carawayspread.CodeUnknownOutcome, "instance "+instance.ID+" did not answer; a drain may be asked for again",
 			carawayspread.RetryAfter(defaultTimeout), carawayspread.CausedBy(err),
 		)
 	}
-	return adminapi.Drained{Instance: instance.ID, Endpoint: target.Endpoint, Running: response.GetRunning()}, nil
+	return adminapi.DrainResult{Instance: instance.ID, Endpoint: target.Endpoint, Running: response.GetRunning()}, nil
 }
 
-func findInstance(listed []carawayspread.Instance, target adminapi.Drain) (carawayspread.Instance, bool) {
+func findInstance(listed []carawayspread.Instance, target adminapi.DrainRequest) (carawayspread.Instance, bool) {
 	for _, instance := range listed {
 		if target.Instance != "" && instance.ID != target.Instance {
 			continue
--- a/internal/process/fleet/fleet_test.go
+++ b/internal/process/fleet/fleet_test.go
@@ -69,14 +69,14 @@
 		{ID: "b", Control: "b", Endpoints: []carawayspread.InstanceEndpoint{{ID: "b1"}}},
 	}
 	tests := map[string]struct {
-		target adminapi.Drain
+		target adminapi.DrainRequest
 		want   string // empty where nothing may be drained
 	}{
-		"instance":                {adminapi.Drain{Instance: "b"}, "b/"},
-		"endpoint":                {adminapi.Drain{Endpoint: "b1"}, "b/b1"},
-		"both":                    {adminapi.Drain{Instance: "a", Endpoint: "a1"}, "a/a1"},
-		"endpoint of another one": {adminapi.Drain{Instance: "a", Endpoint: "b1"}, ""},
-		"neither":                 {adminapi.Drain{}, ""},
+		"instance":                {adminapi.DrainRequest{Instance: "b"}, "b/"},
+		"endpoint":                {adminapi.DrainRequest{Endpoint: "b1"}, "b/b1"},
+		"both":                    {adminapi.DrainRequest{Instance: "a", Endpoint: "a1"}, "a/a1"},
+		"endpoint of another one": {adminapi.DrainRequest{Instance: "a", Endpoint: "b1"}, ""},
+		"neither":                 {adminapi.DrainRequest{}, ""},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/process/operator/fleet.go
+++ b/internal/process/operator/fleet.go
@@ -67,7 +67,7 @@
 	}
 	findings := finding.List{}
 	if c.Bool("change") {
-		var checked adminapi.Checked
+		var checked adminapi.CheckResult
 		if err := call(c, http.MethodPost, "/config/check", nil, body, &checked); err != nil {
 			return err
 		}
@@ -140,11 +140,11 @@
 	)
 	help := "Running requests finish; none is cut. Draining may be asked for again."
 	return command("drain", "give an instance or endpoint no new work", "", help, flags, func(c *cli.Context) error {
-		body, err := json.Marshal(adminapi.Drain{Instance: c.String("instance"), Endpoint: c.String("endpoint")})
+		body, err := json.Marshal(adminapi.DrainRequest{Instance: c.String("instance"), Endpoint: c.String("endpoint")})
 		if err != nil {
 			return err
 		}
-		var answer adminapi.Drained
+		var answer adminapi.DrainResult
 		if err := call(c, http.MethodPost, "/drain", nil, body, &answer); err != nil {
 			return err
 		}
--- a/internal/process/operator/operator.go
+++ b/internal/process/operator/operator.go
@@ -165,7 +165,7 @@
 	if wait := c.Duration(flagWait); wait > 0 {
 		query.Set(adminapi.ParamWait, wait.String())
 	}
-	var changed adminapi.Changed
+	var changed adminapi.ChangeResult
 	if err := call(c, method, path, query, body, &changed); err != nil {
 		return err
 	}
--- a/internal/process/operator/print.go
+++ b/internal/process/operator/print.go
@@ -47,15 +47,15 @@
 	_ = columns.Flush()
 }
 
-func (p printer) changed(changed adminapi.Changed) {
+func (p printer) changed(changed adminapi.ChangeResult) {
 	p.line("accepted as version %d, replaces version %d: %s", changed.Version, changed.Replaced, strings.Join(changed.Touches, ", "))
-	p.force(changed.Force)
+	p.force(changed.RolloutStatus)
 }
 
-func (p printer) force(force adminapi.Force) {
+func (p printer) force(force adminapi.RolloutStatus) {
 	switch {
-	case force.Unlisted != "":
-		p.line("in force: not known, %s", force.Unlisted)
+	case force.ListError != "":
+		p.line("in force: not known, %s", force.ListError)
 	case force.InForce:
 		p.line("in force on every listed instance")
 	default:
@@ -113,7 +113,7 @@
 
 func (p printer) status(status adminapi.Status) {
 	p.line("version %d", status.Version)
-	p.force(status.Force)
+	p.force(status.RolloutStatus)
 	rows := make([][]string, 0, len(status.Instances))
 	for _, i := range status.Instances {
 		rows = append(rows, []string{
