--- a/internal/connection/platform/doc.go
+++ b/internal/connection/tableclient/doc.go
@@ -1,4 +1,4 @@
-// Package platform puts the decorators round the client of the table service.
+// Package tableclient puts the decorators round the client of the table service.
 //
 // From the caller inwards, each with the reason for its place:
 //
@@ -11,4 +11,4 @@
 //   - timeout: bounds each single try;
 //   - metered, layer "platform": requests as the platform counts them;
 //   - the client, which sends each request once.
-package platform
+package tableclient
--- a/internal/connection/platform/table.go
+++ b/internal/connection/tableclient/table.go
@@ -1,4 +1,4 @@
-package platform
+package tableclient
 
 import (
 	"time"
--- a/internal/daemon/base/base.go
+++ b/internal/daemon/base/base.go
@@ -12,8 +12,8 @@
 	"carawayspread"
 	"carawayspread/internal/connection/dynamodb"
 	"carawayspread/internal/connection/instancelist"
-	"carawayspread/internal/connection/platform"
 	"carawayspread/internal/connection/s3"
+	"carawayspread/internal/connection/tableclient"
 	"carawayspread/internal/daemon/server"
 	"carawayspread/internal/process/confsync"
 	"carawayspread/internal/process/watch"
@@ -48,7 +48,7 @@
 	id, secret := credentials()
 	client := dynamodb.New("http://"+p.Table(), dynamodb.WithName(p.TableName()), dynamodb.WithRegion(p.AWSRegion()),
 		dynamodb.WithCredentials(id, secret))
-	b.table = platform.NewTable(client, clock, b.set, platform.WithTimeouts(s.Timeouts().Table(), s.Timeouts().Table()))
+	b.table = tableclient.NewTable(client, clock, b.set, tableclient.WithTimeouts(s.Timeouts().Table(), s.Timeouts().Table()))
 	b.objects = s3.New("http://"+p.Objects(), s3.WithBucket(p.Bucket()), s3.WithRegion(p.AWSRegion()),
 		s3.WithCredentials(id, secret))
 	b.watch = watch.New(instancelist.New("http://"+p.InstanceList()), clock, b.log)
--- a/internal/process/ledger/bench_test.go
+++ b/internal/process/ledger/bench_test.go
@@ -13,7 +13,7 @@
 
 	"carawayspread"
 	"carawayspread/internal/connection/dynamodb"
-	"carawayspread/internal/connection/platform"
+	"carawayspread/internal/connection/tableclient"
 	"carawayspread/internal/standin/table"
 )
 
@@ -38,7 +38,7 @@
 			for range test.entries {
 				client := dynamodb.New(server.URL)
 				defer client.Close()
-				l := New(platform.NewTable(client, clock, metrics.NewSet()), objects{}, clock)
+				l := New(tableclient.NewTable(client, clock, metrics.NewSet()), objects{}, clock)
 				for range test.callers {
 					wg.Go(func() {
 						for n := next.Add(1); n <= int64(b.N); n = next.Add(1) {
--- a/internal/version/changelog/linear_test.go
+++ b/internal/version/changelog/linear_test.go
@@ -15,7 +15,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"carawayspread"
-	"carawayspread/internal/connection/platform"
+	"carawayspread/internal/connection/tableclient"
 )
 
 // fast is a clock on which a second passes in ten milliseconds.
@@ -75,7 +75,7 @@
 	tests := map[string]func(carawayspread.Table) carawayspread.Table{
 		"bare": func(inner carawayspread.Table) carawayspread.Table { return inner },
 		"decorated": func(inner carawayspread.Table) carawayspread.Table {
-			return platform.NewTable(inner, clock, metrics.NewSet())
+			return tableclient.NewTable(inner, clock, metrics.NewSet())
 		},
 	}
 	for name, decorate := range tests {
