--- a/internal/process/admin/admin.go
+++ b/internal/process/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin serves the administration API: operators state and change the
-// targets of classes, the workspaces and the services, look at history and
-// audit trail, and drain.
+// Package admin serves the administration API, with which operators set and change the targets of
+// classes, the workspaces and the services, read the history and the audit trail, and drain instances
+// and endpoints.
 package admin
 
 import (
@@ -19,14 +19,14 @@
 )
 
 const (
-	maxBody = 1 << 20
-	maxWait = time.Minute
-	// recheck is the pause between two inquiries while an operator waits for a
-	// change to be in force.
-	recheck = time.Second
+	maxBodyBytes = 1 << 20
+	maxWait      = time.Minute
+	// rolloutPollInterval is the time between two queries of all instances while an operator waits
+	// until a change is in force.
+	rolloutPollInterval = time.Second
 )
 
-// ConfigLog is the configuration log.
+// ConfigLog is the log of configuration changes, with its audit trail.
 type ConfigLog interface {
 	Append(ctx context.Context, p changelog.Proposal) (record.Record, *carawayspread.Config, error)
 	History(ctx context.Context, after carawayspread.Version) ([]record.Record, error)
@@ -45,23 +45,23 @@
 // Admin is the administration API as an http.Handler. It is safe for
 // concurrent use.
 type Admin struct {
-	log    ConfigLog
-	holder Holder
-	fleet  *fleet.Fleet
-	clock  carawayspread.Clock
-	logger log.Interface
-	mux    *http.ServeMux
+	configLog ConfigLog
+	holder    Holder
+	fleet     *fleet.Fleet
+	clock     carawayspread.Clock
+	logger    log.Interface
+	mux       *http.ServeMux
 }
 
-// Option sets an optional part of an Admin.
+// Option sets an option of an Admin.
 type Option func(*Admin)
 
-// WithLogger sets where events are logged.
+// WithLogger sets the logger; log.Log by default.
 func WithLogger(logger log.Interface) Option { return func(a *Admin) { a.logger = logger } }
 
 // New returns the administration API.
 func New(configLog ConfigLog, holder Holder, instances *fleet.Fleet, clock carawayspread.Clock, opts ...Option) *Admin {
-	a := &Admin{log: configLog, holder: holder, fleet: instances, clock: clock, logger: log.Log, mux: http.NewServeMux()}
+	a := &Admin{configLog: configLog, holder: holder, fleet: instances, clock: clock, logger: log.Log, mux: http.NewServeMux()}
 	for _, opt := range opts {
 		opt(a)
 	}
@@ -71,7 +71,7 @@
 
 // ServeHTTP serves the API.
 func (a *Admin) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	r.Body = http.MaxBytesReader(w, r.Body, maxBody)
+	r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
 	a.mux.ServeHTTP(w, r)
 }
 
@@ -91,12 +91,12 @@
 	})
 }
 
-// handler answers one request; its error is sent as a Fault.
+// handler handles one request and returns the body of the answer; an error is sent as a Fault.
 type handler func(r *http.Request) (any, error)
 
 type methods map[string]handler
 
-// path serves the methods of one path and refuses the others.
+// path registers the handlers of one path; other methods are refused.
 func (a *Admin) path(path string, served methods) {
 	a.mux.HandleFunc(adminapi.Prefix+path, func(w http.ResponseWriter, r *http.Request) {
 		serve, ok := served[r.Method]
@@ -114,8 +114,8 @@
 	})
 }
 
-// resource serves list, show, set and delete of one kind.
-func (a *Admin) resource(path string, kind kind) {
+// resource registers list, show, set and delete for one kind of resource.
+func (a *Admin) resource(path string, kind resourceKind) {
 	a.path(path, methods{http.MethodGet: func(r *http.Request) (any, error) {
 		return kind.list(a.holder.Current(r.Context())), nil
 	}})
--- a/internal/process/admin/admin_test.go
+++ b/internal/process/admin/admin_test.go
@@ -16,16 +16,16 @@
 	"carawayspread/internal/connection/adminapi"
 )
 
-// emptyHolder holds the empty configuration; the rest of it is not to be used.
+// emptyHolder holds the empty configuration; its other methods must not be called.
 type emptyHolder struct{ Holder }
 
 func (emptyHolder) Current(context.Context) *carawayspread.Config {
 	return carawayspread.NewConfig(0, nil, nil, nil)
 }
 
-// What cannot be read is refused before anything is asked of the log.
+// Malformed requests must be refused before any call to the configuration log.
 func TestRefusesBadRequests(t *testing.T) {
-	large := strings.Repeat(" ", maxBody+1)
+	large := strings.Repeat(" ", maxBodyBytes+1)
 	tests := map[string]struct {
 		method, target, actor, body string
 		want                        carawayspread.Code
@@ -41,10 +41,10 @@
 		"malformed day":     {http.MethodGet, "/admin/v1/audit?day=today", "ana", "", carawayspread.CodeMalformed},
 		"unknown class":     {http.MethodGet, "/admin/v1/class/a", "ana", "", carawayspread.CodeNotFound},
 	}
-	quiet := &log.Logger{Handler: discard.New(), Level: log.FatalLevel}
+	discardLogger := &log.Logger{Handler: discard.New(), Level: log.FatalLevel}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			api := New(nil, emptyHolder{}, nil, carawayspread.SystemClock(), WithLogger(quiet))
+			api := New(nil, emptyHolder{}, nil, carawayspread.SystemClock(), WithLogger(discardLogger))
 			r := httptest.NewRequest(test.method, test.target, strings.NewReader(test.body))
 			r.Header.Set(adminapi.HeaderActor, test.actor)
 			w := httptest.NewRecorder()
--- a/internal/process/admin/change.go
+++ b/internal/process/admin/change.go
@@ -16,7 +16,7 @@
 	"carawayspread/internal/version/finding"
 )
 
-func (a *Admin) set(r *http.Request, kind kind) (any, error) {
+func (a *Admin) set(r *http.Request, kind resourceKind) (any, error) {
 	body, err := readBody(r)
 	if err != nil {
 		return nil, err
@@ -24,7 +24,7 @@
 	return a.accept(r, kind.set(r.PathValue("name"), body))
 }
 
-func (a *Admin) delete(r *http.Request, kind kind) (any, error) {
+func (a *Admin) delete(r *http.Request, kind resourceKind) (any, error) {
 	return a.accept(r, kind.delete(r.PathValue("name")))
 }
 
@@ -36,7 +36,8 @@
 	return a.accept(r, change.Parse("", body))
 }
 
-// accept has the change accepted and tells where it is in force.
+// accept appends the change to the configuration log and returns in which instances it is in force,
+// after waiting for the requested time.
 func (a *Admin) accept(r *http.Request, c *change.Change) (any, error) {
 	actor, err := actorOf(r)
 	if err != nil {
@@ -50,7 +51,7 @@
 	if err != nil {
 		return nil, err
 	}
-	accepted, cfg, err := a.log.Append(r.Context(), changelog.Proposal{
+	accepted, cfg, err := a.configLog.Append(r.Context(), changelog.Proposal{
 		Change: c, Against: against, Actor: actor, Held: a.holder.Current(r.Context()),
 	})
 	if err != nil {
@@ -63,23 +64,23 @@
 	a.holder.Adopt(cfg, accepted)
 	return adminapi.ChangeResult{
 		Version: accepted.Version, Replaced: against, Actor: actor, Attempt: accepted.Attempt,
-		Touches: c.Touches(), RolloutStatus: a.awaitForce(r.Context(), accepted.Version, wait),
+		Touches: c.Touches(), RolloutStatus: a.awaitRollout(r.Context(), accepted.Version, wait),
 	}, nil
 }
 
-// awaitForce asks the instances until all confirm the version or the wait is over.
-func (a *Admin) awaitForce(ctx context.Context, version carawayspread.Version, wait time.Duration) adminapi.RolloutStatus {
-	until := a.clock.Now().Add(wait)
+// awaitRollout polls the instances until all confirm the version or the wait is over.
+func (a *Admin) awaitRollout(ctx context.Context, version carawayspread.Version, wait time.Duration) adminapi.RolloutStatus {
+	deadline := a.clock.Now().Add(wait)
 	for {
-		force := a.fleet.RolloutStatus(ctx, version)
-		left := until.Sub(a.clock.Now())
-		if force.InForce || left <= 0 {
-			return force
+		rollout := a.fleet.RolloutStatus(ctx, version)
+		remaining := deadline.Sub(a.clock.Now())
+		if rollout.InForce || remaining <= 0 {
+			return rollout
 		}
 		select {
 		case <-ctx.Done():
-			return force
-		case <-a.clock.After(min(recheck, left)):
+			return rollout
+		case <-a.clock.After(min(rolloutPollInterval, remaining)):
 		}
 	}
 }
@@ -120,7 +121,7 @@
 	return actor, nil
 }
 
-// versionOf reads a version that must be stated.
+// versionOf parses a required query parameter that holds a version.
 func versionOf(r *http.Request, name string) (carawayspread.Version, error) {
 	text := r.URL.Query().Get(name)
 	n, err := strconv.ParseUint(text, 10, 64)
--- a/internal/process/admin/kinds.go
+++ b/internal/process/admin/kinds.go
@@ -9,8 +9,8 @@
 	"carawayspread/internal/version/change"
 )
 
-// kind is one kind of values of a configuration.
-type kind interface {
+// resourceKind is one kind of resource in a configuration.
+type resourceKind interface {
 	list(cfg *carawayspread.Config) any
 	show(cfg *carawayspread.Config, name string) (any, error)
 	set(name string, body []byte) *change.Change
@@ -30,12 +30,12 @@
 func (classes) show(cfg *carawayspread.Config, name string) (any, error) {
 	class, ok := cfg.Class(name)
 	if !ok {
-		return nil, missing("class", name)
+		return nil, notFound("class", name)
 	}
 	return adminapi.Class{Version: cfg.Version(), Class: change.WireClass(class)}, nil
 }
 
-func (classes) set(name string, body []byte) *change.Change { return one("classes", name, body) }
+func (classes) set(name string, body []byte) *change.Change { return parseNamed("classes", name, body) }
 
 func (classes) delete(name string) *change.Change { return change.New(change.DeleteClass(name)) }
 
@@ -51,12 +51,14 @@
 
 func (workspaces) show(cfg *carawayspread.Config, name string) (any, error) {
 	if _, ok := cfg.Workspace(name); !ok {
-		return nil, missing("workspace", name)
+		return nil, notFound("workspace", name)
 	}
 	return adminapi.Workspaces{Version: cfg.Version(), Workspaces: []change.Named{{Name: name}}}, nil
 }
 
-func (workspaces) set(name string, body []byte) *change.Change { return one("workspaces", name, body) }
+func (workspaces) set(name string, body []byte) *change.Change {
+	return parseNamed("workspaces", name, body)
+}
 
 func (workspaces) delete(name string) *change.Change {
 	return change.New(change.DeleteWorkspace(name))
@@ -75,24 +77,26 @@
 func (services) show(cfg *carawayspread.Config, name string) (any, error) {
 	service, ok := cfg.Service(name)
 	if !ok {
-		return nil, missing("service", name)
+		return nil, notFound("service", name)
 	}
 	return adminapi.Service{Version: cfg.Version(), Service: change.WireService(service)}, nil
 }
 
-func (services) set(name string, body []byte) *change.Change { return one("services", name, body) }
+func (services) set(name string, body []byte) *change.Change {
+	return parseNamed("services", name, body)
+}
 
 func (services) delete(name string) *change.Change { return change.New(change.DeleteService(name)) }
 
-func missing(kind, name string) error {
+func notFound(kind, name string) error {
 	return carawayspread.NewError(
 		carawayspread.CodeNotFound, fmt.Sprintf("there is no %s %q", kind, name), carawayspread.NotRun(),
 	)
 }
 
-// one reads a value whose name is in the path. It may be empty and may leave
-// the name out.
-func one(field, name string, body []byte) *change.Change {
+// parseNamed parses the body of a resource whose name is in the path. The body may be empty and may
+// omit the name.
+func parseNamed(field, name string, body []byte) *change.Change {
 	if len(bytes.TrimSpace(body)) == 0 {
 		body = []byte("{}")
 	}
--- a/internal/process/admin/read.go
+++ b/internal/process/admin/read.go
@@ -11,7 +11,8 @@
 	"carawayspread/internal/version/change"
 )
 
-const comeBack = 5 * time.Second
+// retryDelay is the Retry-After of answers while the table service cannot be read.
+const retryDelay = 5 * time.Second
 
 func (a *Admin) showConfig(r *http.Request) (any, error) {
 	cfg := a.holder.Current(r.Context())
@@ -29,9 +30,9 @@
 			return nil, err
 		}
 	}
-	records, err := a.log.History(r.Context(), after)
+	records, err := a.configLog.History(r.Context(), after)
 	if err != nil {
-		return nil, unread(err)
+		return nil, storeUnreadable(err)
 	}
 	answer := adminapi.History{Records: records}
 	if len(records) > 0 {
@@ -48,17 +49,17 @@
 			return nil, malformed("parameter day must be a date such as 2026-12-02")
 		}
 	}
-	records, next, err := a.log.Audit(r.Context(), day, r.URL.Query().Get(adminapi.ParamAfter))
+	records, next, err := a.configLog.Audit(r.Context(), day, r.URL.Query().Get(adminapi.ParamAfter))
 	if err != nil {
-		return nil, unread(err)
+		return nil, storeUnreadable(err)
 	}
 	return adminapi.Audit{Day: day.Format(time.DateOnly), Records: records, Next: next}, nil
 }
 
-func unread(cause error) error {
+func storeUnreadable(cause error) error {
 	return carawayspread.NewError(
 		carawayspread.CodeStoreUnavailable, "the table service cannot be read now",
-		carawayspread.NotRun(), carawayspread.RetryAfter(comeBack), carawayspread.CausedBy(cause),
+		carawayspread.NotRun(), carawayspread.RetryAfter(retryDelay), carawayspread.CausedBy(cause),
 	)
 }
 
@@ -75,28 +76,28 @@
 	return answer, nil
 }
 
-// drain passes the drain on and writes it to the audit trail. Draining does not
-// wait for the store: an instance must be able to leave while it is down.
+// drain forwards the drain to the instance and records it in the audit trail. It does not depend on
+// the store: an instance must be able to leave the fleet while the store is down.
 func (a *Admin) drain(r *http.Request) (any, error) {
 	actor, err := actorOf(r)
 	if err != nil {
 		return nil, err
 	}
-	target, err := readDrain(r)
+	target, err := readDrainRequest(r)
 	if err != nil {
 		return nil, err
 	}
 	drained, err := a.fleet.Drain(r.Context(), target, actor)
-	line := auditrecord.AuditRecord{
+	auditLine := auditrecord.AuditRecord{
 		Actor: actor, Action: auditrecord.Drain, Verdict: auditrecord.Accepted, Touches: touched(target),
 	}
 	if typed, ok := carawayspread.AsError(err); ok {
-		line.Verdict, line.Code, line.Reason = auditrecord.Unknown, typed.Code(), typed.Message()
+		auditLine.Verdict, auditLine.Code, auditLine.Reason = auditrecord.Unknown, typed.Code(), typed.Message()
 		if typed.NotRun() {
-			line.Verdict = auditrecord.Refused
+			auditLine.Verdict = auditrecord.Refused
 		}
 	}
-	if noteErr := a.log.Note(r.Context(), line); noteErr != nil {
+	if noteErr := a.configLog.Note(r.Context(), auditLine); noteErr != nil {
 		a.logger.WithField("actor", actor).WithError(noteErr).Warn("admin.auditUnwritten")
 	}
 	if err != nil {
--- a/internal/process/admin/write.go
+++ b/internal/process/admin/write.go
@@ -16,7 +16,7 @@
 	"carawayspread/internal/version/document"
 )
 
-func readDrain(r *http.Request) (adminapi.DrainRequest, error) {
+func readDrainRequest(r *http.Request) (adminapi.DrainRequest, error) {
 	body, err := readBody(r)
 	if err != nil {
 		return adminapi.DrainRequest{}, err
@@ -48,7 +48,7 @@
 	w.WriteHeader(status)
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
-	_ = encoder.Encode(body) // the operator has gone away
+	_ = encoder.Encode(body) // fails only if the operator has disconnected
 }
 
 func refuseMethod(w http.ResponseWriter, served methods) {
--- a/internal/process/operator/operator.go
+++ b/internal/process/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator holds the command line of operators: thin clients of the
-// administration API, and the check of a local settings file.
+// Package operator implements the operators' commands: thin clients of the administration API, and
+// the check of a local settings file.
 package operator
 
 import (
@@ -19,9 +19,9 @@
 	"carawayspread/internal/connection/adminapi"
 )
 
-// Exit codes of the commands, so that scripts can tell them apart.
+// Exit codes of failed commands, by which scripts can distinguish them.
 const (
-	exitRefused     = 1 // proved to have had no effect
+	exitRefused     = 1 // provably had no effect
 	exitUnknown     = 2 // may have taken effect
 	exitUnreachable = 3 // nothing was sent
 )
@@ -46,7 +46,7 @@
 	}
 }
 
-// commonFlags are taken by every command that calls the API.
+// commonFlags returns the flags of every command that calls the API, after those in more.
 func commonFlags(more ...cli.Flag) []cli.Flag {
 	return append(more,
 		&cli.StringFlag{Name: flagServer, Value: defaultServer, EnvVars: []string{"CARAWAYSPREAD_SERVER"}, DefaultText: defaultServer, Usage: "the administration API of any entry"},
@@ -55,8 +55,8 @@
 	)
 }
 
-// userName returns the name of who runs the command; empty where the system
-// knows none, and the API then asks for one.
+// userName returns the name of the user that runs the command. It is empty if the system knows none;
+// the API then refuses changes and drains without --actor.
 func userName() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
@@ -64,7 +64,7 @@
 	return ""
 }
 
-// changeFlags are taken by every command that makes a change.
+// changeFlags returns the flags of every command that makes a change, after those in more.
 func changeFlags(more ...cli.Flag) []cli.Flag {
 	return commonFlags(append(more,
 		&cli.Uint64Flag{Name: flagAgainst, Usage: "the `VERSION` that you looked at; the change is refused if there is a newer one"},
@@ -72,9 +72,9 @@
 	)...)
 }
 
-// command returns a command whose flags may stand before and after its
-// arguments, as in "class set rulings --share 0.95". The library stops at the
-// first argument and would silently take the flags after it as arguments.
+// command returns a command whose flags may precede and follow its arguments, as in
+// "class set rulings --share 0.95". The library stops at the first argument and would silently treat
+// flags after it as arguments.
 func command(name, usage, args, description string, flags []cli.Flag, action func(*cli.Context) error) *cli.Command {
 	return &cli.Command{
 		Name: name, Usage: usage, ArgsUsage: args, Description: description, Flags: flags,
@@ -87,7 +87,7 @@
 			if err != nil {
 				return cli.Exit(err.Error(), exitRefused)
 			}
-			if !complete(args, parsed.NArg()) {
+			if !validArgCount(args, parsed.NArg()) {
 				return cli.Exit("usage: "+c.Command.HelpName+" "+args+"; --help tells more", exitRefused)
 			}
 			return action(parsed)
@@ -95,16 +95,17 @@
 	}
 }
 
-// complete reports whether n arguments satisfy a usage such as "NAME [FILE]".
-func complete(usage string, n int) bool {
+// validArgCount reports whether a usage such as "NAME [FILE]" permits n arguments.
+func validArgCount(usage string, n int) bool {
 	words := strings.Fields(usage)
 	optional := strings.Count(usage, "[")
 	return n >= len(words)-optional && n <= len(words)
 }
 
+// parse parses flags and arguments in any order.
 func parse(c *cli.Context, name string, flags []cli.Flag) (*cli.Context, error) {
 	set := flag.NewFlagSet(name, flag.ContinueOnError)
-	set.SetOutput(io.Discard) // errors are returned
+	set.SetOutput(io.Discard) // errors are returned, not printed
 	set.Usage = func() {}
 	for _, f := range flags {
 		if err := f.Apply(set); err != nil {
@@ -128,16 +129,16 @@
 	return cli.NewContext(c.App, set, c), nil
 }
 
-// call sends one request to the API named by the flags.
-func call(c *cli.Context, method, path string, query url.Values, body []byte, into any) error {
+// call sends one request to the API that the flags select.
+func call(c *cli.Context, method, path string, query url.Values, body []byte, result any) error {
 	ctx, cancel := context.WithTimeout(c.Context, callTimeout)
 	defer cancel()
 	client := adminapi.NewClient(c.String(flagServer), c.String(flagActor), http.DefaultClient)
-	return failed(c, client.Do(ctx, method, path, query, body, into))
+	return reportError(c, client.Do(ctx, method, path, query, body, result))
 }
 
-// failed prints what the operator needs to act on an error and sets the exit code.
-func failed(c *cli.Context, err error) error {
+// reportError prints an error of the API with its details and returns one that sets the exit code.
+func reportError(c *cli.Context, err error) error {
 	var remote *adminapi.RemoteError
 	if !errors.As(err, &remote) {
 		return err
@@ -155,7 +156,7 @@
 	}
 }
 
-// change sends a change and prints where it is in force.
+// changeCall sends a change and prints in which instances it is in force.
 func changeCall(c *cli.Context, method, path string, body []byte) error {
 	if !c.IsSet(flagAgainst) {
 		return cli.Exit("--against is missing: the version that you looked at, as 'config show' and every list print it", exitRefused)
--- a/internal/process/operator/print.go
+++ b/internal/process/operator/print.go
@@ -15,12 +15,12 @@
 	"carawayspread/internal/version/record"
 )
 
-// printer writes answers for people.
+// printer writes answers as text for operators.
 type printer struct {
 	w io.Writer
 }
 
-// output prints an answer as text, or as JSON where that is asked for.
+// output prints an answer as text, or as JSON with --json.
 func output(c *cli.Context, answer any, text func(printer)) error {
 	if c.Bool(flagJSON) {
 		return printer{w: c.App.Writer}.json(answer)
@@ -49,18 +49,18 @@
 
 func (p printer) changed(changed adminapi.ChangeResult) {
 	p.line("accepted as version %d, replaces version %d: %s", changed.Version, changed.Replaced, strings.Join(changed.Touches, ", "))
-	p.force(changed.RolloutStatus)
+	p.rollout(changed.RolloutStatus)
 }
 
-func (p printer) force(force adminapi.RolloutStatus) {
+func (p printer) rollout(status adminapi.RolloutStatus) {
 	switch {
-	case force.ListError != "":
-		p.line("in force: not known, %s", force.ListError)
-	case force.InForce:
+	case status.ListError != "":
+		p.line("in force: not known, %s", status.ListError)
+	case status.InForce:
 		p.line("in force on every listed instance")
 	default:
-		p.line("not yet in force everywhere, instances without confirmation: %d", len(force.Unconfirmed))
-		for _, u := range force.Unconfirmed {
+		p.line("not yet in force everywhere, instances without confirmation: %d", len(status.Unconfirmed))
+		for _, u := range status.Unconfirmed {
 			p.line("  %s: %s", u.Instance, u.Reason)
 		}
 	}
@@ -113,24 +113,24 @@
 
 func (p printer) status(status adminapi.Status) {
 	p.line("version %d", status.Version)
-	p.force(status.RolloutStatus)
+	p.rollout(status.RolloutStatus)
 	rows := make([][]string, 0, len(status.Instances))
 	for _, i := range status.Instances {
 		rows = append(rows, []string{
-			i.ID, string(i.Role), string(i.State), i.Zone, fmt.Sprint(i.Version), mark(i.Confirmed), mark(i.Draining), endpoints(i),
+			i.ID, string(i.Role), string(i.State), i.Zone, fmt.Sprint(i.Version), yesNo(i.Confirmed), yesNo(i.Draining), formatEndpoints(i),
 		})
 	}
 	p.table("INSTANCE ROLE STATE ZONE VERSION CONFIRMED DRAINING ENDPOINTS", rows)
 }
 
-func mark(yes bool) string {
+func yesNo(yes bool) string {
 	if yes {
 		return "yes"
 	}
 	return "no"
 }
 
-func endpoints(instance adminapi.Instance) string {
+func formatEndpoints(instance adminapi.Instance) string {
 	var list []string
 	for _, e := range instance.Endpoints {
 		text := fmt.Sprintf("%s %d/%d", e.ID, e.Running, e.Slots)
--- a/internal/process/operator/session_test.go
+++ b/internal/process/operator/session_test.go
@@ -30,19 +30,19 @@
 	"carawayspread/internal/version/changelog"
 )
 
-// leaping is a clock that jumps to the end of every wait.
-type leaping struct {
+// jumpingClock is a clock that advances to the end of every wait at once.
+type jumpingClock struct {
 	mu  sync.Mutex
 	now time.Time
 }
 
-func (c *leaping) Now() time.Time {
+func (c *jumpingClock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
-func (c *leaping) After(d time.Duration) <-chan time.Time {
+func (c *jumpingClock) After(d time.Duration) <-chan time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = c.now.Add(d)
@@ -51,27 +51,27 @@
 	return woken
 }
 
-// daemon is an instance of the session, which answers control calls.
-type daemon struct {
+// fakeInstance is an instance of the session that answers control calls.
+type fakeInstance struct {
 	control.Control
-	id     string
-	syncer *confsync.Syncer
-	cut    bool
+	id          string
+	syncer      *confsync.Syncer
+	unreachable bool
 }
 
-func (d *daemon) Status(context.Context, *control.StatusRequest) (*control.StatusResponse, error) {
-	if d.cut {
+func (i *fakeInstance) Status(context.Context, *control.StatusRequest) (*control.StatusResponse, error) {
+	if i.unreachable {
 		return nil, errors.New("connection refused")
 	}
-	answer := &control.StatusResponse{Instance: d.id, ConfigVersion: uint64(d.syncer.Held().Version())}
-	if d.id == "sidecar-1" {
+	answer := &control.StatusResponse{Instance: i.id, ConfigVersion: uint64(i.syncer.Held().Version())}
+	if i.id == "sidecar-1" {
 		answer.Endpoints = []*control.EndpointLoad{{Endpoint: "worker-1", Running: 3, Slots: 16}}
 	}
 	return answer, nil
 }
 
-func (d *daemon) Drain(context.Context, *control.DrainRequest) (*control.DrainResponse, error) {
-	if d.cut {
+func (i *fakeInstance) Drain(context.Context, *control.DrainRequest) (*control.DrainResponse, error) {
+	if i.unreachable {
 		return nil, errors.New("connection refused")
 	}
 	return &control.DrainResponse{Running: 3}, nil
@@ -81,8 +81,8 @@
 type session struct {
 	tables     *table.Table
 	server     *httptest.Server
-	sidecar    *daemon
-	loseAnswer bool // of the next request to the API, after it was carried out
+	sidecar    *fakeInstance
+	loseAnswer bool // of the next request to the API, after the request was performed
 	out        strings.Builder
 }
 
@@ -92,15 +92,15 @@
 	storeServer := httptest.NewServer(objects.New(carawayspread.SystemClock()))
 	tableClient, storeClient := dynamodb.New(tableServer.URL), s3.New(storeServer.URL)
 
-	quiet := &log.Logger{Handler: discard.New(), Level: log.FatalLevel}
-	clock := &leaping{now: time.Date(2026, 12, 2, 9, 30, 0, 0, time.UTC)}
+	discardLogger := &log.Logger{Handler: discard.New(), Level: log.FatalLevel}
+	clock := &jumpingClock{now: time.Date(2026, 12, 2, 9, 30, 0, 0, time.UTC)}
 	attempts := 0
-	configLog := changelog.New(tableClient, storeClient, clock, changelog.WithLogger(quiet),
+	configLog := changelog.New(tableClient, storeClient, clock, changelog.WithLogger(discardLogger),
 		changelog.WithAttempts(func() string { attempts++; return fmt.Sprintf("attempt-%d", attempts) }))
-	entry := &daemon{id: "entry-1", syncer: confsync.New(configLog, clock, confsync.WithLogger(quiet))}
-	s.sidecar = &daemon{id: "sidecar-1", syncer: entry.syncer}
+	entry := &fakeInstance{id: "entry-1", syncer: confsync.New(configLog, clock, confsync.WithLogger(discardLogger))}
+	s.sidecar = &fakeInstance{id: "sidecar-1", syncer: entry.syncer}
 
-	api := admin.New(configLog, entry.syncer, fleet.New(s.list, s.dial(entry)), clock, admin.WithLogger(quiet))
+	api := admin.New(configLog, entry.syncer, fleet.New(s.list, s.dial(entry)), clock, admin.WithLogger(discardLogger))
 	s.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.loseAnswer {
 			s.loseAnswer = false
@@ -130,7 +130,7 @@
 	}, nil
 }
 
-func (s *session) dial(entry *daemon) func(string) control.Control {
+func (s *session) dial(entry *fakeInstance) func(string) control.Control {
 	return func(address string) control.Control {
 		if address == "entry" {
 			return entry
@@ -139,17 +139,17 @@
 	}
 }
 
-// events are what happens between the commands of a session.
+// events maps lines of a session to the faults and recoveries between its commands.
 var events = map[string]func(*session){
 	"# the table service goes down":                func(s *session) { s.tables.SetDown(true) },
 	"# the table service is back":                  func(s *session) { s.tables.Clear() },
 	"# the table loses the next answer":            func(s *session) { s.tables.LoseAnswers(1) },
 	"# the entry's next answer is lost on its way": func(s *session) { s.loseAnswer = true },
-	"# sidecar-1 is cut off":                       func(s *session) { s.sidecar.cut = true },
-	"# sidecar-1 is back":                          func(s *session) { s.sidecar.cut = false },
+	"# sidecar-1 is cut off":                       func(s *session) { s.sidecar.unreachable = true },
+	"# sidecar-1 is back":                          func(s *session) { s.sidecar.unreachable = false },
 }
 
-// run carries out one line of a session and records what the operator sees.
+// run executes one line of a session and records the output that the operator sees.
 func (s *session) run(t *testing.T, line string) {
 	fmt.Fprintln(&s.out, line)
 	if strings.HasPrefix(line, "#") {
@@ -178,8 +178,8 @@
 	}
 }
 
-// Each golden file is one whole session: the operators' commands, what happens
-// around them, and every byte of the answers. Record them again with -update.
+// Each golden file is a complete session: the operators' commands, the faults between them, and every
+// byte of the output. The flag -update records them again.
 func TestSessions(t *testing.T) {
 	names := []string{"goodPath", "conflict", "refused", "storeOutage", "lostAnswer", "drain", "usage"}
 	for _, name := range names {
--- a/internal/process/operator/values.go
+++ b/internal/process/operator/values.go
@@ -43,15 +43,15 @@
 func setClass(c *cli.Context) error {
 	return set(c, "class", change.Class{
 		Name:          c.Args().First(),
-		FirstToken:    text(c.Duration("first-token")),
-		BetweenTokens: text(c.Duration("between-tokens")),
-		Whole:         text(c.Duration("whole")),
+		FirstToken:    formatDuration(c.Duration("first-token")),
+		BetweenTokens: formatDuration(c.Duration("between-tokens")),
+		Whole:         formatDuration(c.Duration("whole")),
 		Share:         c.Float64("share"),
 		AtMostOnce:    c.Bool("at-most-once"),
 	})
 }
 
-func text(d time.Duration) string {
+func formatDuration(d time.Duration) string {
 	if d == 0 {
 		return ""
 	}
@@ -69,7 +69,7 @@
 		for _, class := range list.Classes {
 			rows = append(rows, []string{
 				class.Name, orDash(class.FirstToken), orDash(class.BetweenTokens), orDash(class.Whole),
-				fmt.Sprint(class.Share), mark(class.AtMostOnce),
+				fmt.Sprint(class.Share), yesNo(class.AtMostOnce),
 			})
 		}
 		p.table("CLASS FIRST-TOKEN BETWEEN-TOKENS WHOLE SHARE AT-MOST-ONCE", rows)
@@ -147,7 +147,7 @@
 		p.line("version %d", list.Version)
 		rows := make([][]string, 0, len(list.Services))
 		for _, s := range list.Services {
-			rows = append(rows, []string{s.Name, s.Kind, mark(s.Repeatable), strings.Join(s.Models, ",")})
+			rows = append(rows, []string{s.Name, s.Kind, yesNo(s.Repeatable), strings.Join(s.Models, ",")})
 		}
 		p.table("SERVICE KIND REPEATABLE MODELS", rows)
 	})
