--- a/internal/connection/backoff/backoff.go
+++ b/internal/connection/backoff/backoff.go
@@ -8,23 +8,23 @@
 	"carawayspread"
 )
 
-// Backoff waits between tries. It is immutable and safe for concurrent use.
+// Backoff waits between attempts. It is immutable and safe for concurrent use.
 type Backoff struct {
 	clock carawayspread.Clock
 	base  time.Duration // bound of the first wait; positive
-	limit time.Duration // no bound exceeds it; at least base
+	limit time.Duration // largest bound; at least base
 	draw  func(bound time.Duration) time.Duration
 }
 
-// New returns waits below a bound that starts at base and doubles up to limit.
+// New returns a Backoff whose waits are below a bound that starts at base and doubles up to limit.
 func New(clock carawayspread.Clock, base, limit time.Duration) *Backoff {
 	return &Backoff{clock: clock, base: base, limit: limit, draw: rand.N[time.Duration]}
 }
 
-// Bound returns the longest wait after a try, counted from 1.
-func (b *Backoff) Bound(try int) time.Duration {
+// Bound returns the longest wait after an attempt, counted from 1.
+func (b *Backoff) Bound(attempt int) time.Duration {
 	bound := b.base
-	for range try - 1 {
+	for range attempt - 1 {
 		if bound >= b.limit {
 			break
 		}
@@ -33,15 +33,15 @@
 	return min(bound, b.limit)
 }
 
-// Draw returns the wait after a try, counted from 1.
-func (b *Backoff) Draw(try int) time.Duration { return b.draw(b.Bound(try)) }
+// Draw returns a random wait after an attempt, counted from 1.
+func (b *Backoff) Draw(attempt int) time.Duration { return b.draw(b.Bound(attempt)) }
 
-// Wait waits after a try, counted from 1; false when ctx ended before.
-func (b *Backoff) Wait(ctx context.Context, try int) bool {
+// Wait waits after an attempt, counted from 1; false if ctx ended first.
+func (b *Backoff) Wait(ctx context.Context, attempt int) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-b.clock.After(b.Draw(try)):
+	case <-b.clock.After(b.Draw(attempt)):
 		return true
 	}
 }
--- a/internal/connection/backoff/doc.go
+++ b/internal/connection/backoff/doc.go
@@ -1,8 +1,7 @@
-// Package backoff spaces repeated requests to the platform.
+// Package backoff implements exponential backoff with full jitter for requests to the platform.
 //
-// Load pattern: the store comes back after an outage while every process of the
-// fleet waits for it. Without jitter all of them come back in the same instants
-// and keep it down. Each wait is drawn evenly between zero and a bound that
-// doubles (full jitter), so that the n-th tries of the fleet are spread over
-// the whole bound.
+// When the store recovers from an outage, every process of the fleet is waiting for it. Without
+// jitter they would all retry at the same times and overload it again. Each wait is drawn uniformly
+// between zero and a bound that doubles, so that the n-th attempts of the fleet are spread over the
+// whole bound.
 package backoff
--- a/internal/connection/bearer/bearer.go
+++ b/internal/connection/bearer/bearer.go
@@ -1,5 +1,4 @@
-// Package bearer reads the credentials that HTTP callers send (RFC 9110, 11.6.2, and
-// RFC 6750, 2.1).
+// Package bearer parses the bearer tokens of HTTP requests (RFC 9110, 11.6.2, and RFC 6750, 2.1).
 package bearer
 
 import (
@@ -10,29 +9,28 @@
 
 const (
 	scheme = "bearer"
-	// longest bounds a token in bytes.
-	longest = 512
+	// maxTokenBytes bounds the length of a token, without its padding.
+	maxTokenBytes = 512
 )
 
-// Challenge is the value of WWW-Authenticate in an answer to a request without a
-// credential that holds.
+// Challenge is the value of WWW-Authenticate in an answer to a request without a valid credential.
 const Challenge = "Bearer"
 
 var (
-	// ErrMissing says that the request carries no credential.
+	// ErrMissing means that the request has no credential.
 	ErrMissing = errors.New("no credential")
-	// ErrMalformed says that the request carries something that can be no token:
-	// another scheme, two credentials, or characters that no token has.
+	// ErrMalformed means that the request has no well-formed bearer token but something else: another
+	// scheme, two credentials, or characters that a token cannot have.
 	ErrMalformed = errors.New("malformed credential")
 )
 
-// header is where callers put their credentials.
+// header is the header that carries the credential.
 const header = "Authorization"
 
-// Strip removes the credentials, which are for this system alone.
+// Strip removes the credential, which is meant for this system only.
 func Strip(h http.Header) { h.Del(header) }
 
-// Token returns the bearer token of a request.
+// Token returns the bearer token of a request, or ErrMissing or ErrMalformed.
 func Token(h http.Header) (string, error) {
 	values := h[header]
 	switch len(values) {
@@ -53,10 +51,10 @@
 	return token, nil
 }
 
-// isToken68 reports whether the text has the syntax of RFC 9110, 11.2.
+// isToken68 reports whether the text is a token68 (RFC 9110, 11.2) of at most maxTokenBytes.
 func isToken68(text string) bool {
 	text = strings.TrimRight(text, "=")
-	if text == "" || len(text) > longest {
+	if text == "" || len(text) > maxTokenBytes {
 		return false
 	}
 	for i := range len(text) {
--- a/internal/connection/bearer/bearer_test.go
+++ b/internal/connection/bearer/bearer_test.go
@@ -18,7 +18,7 @@
 		"scheme in capitals": {values: []string{"BEARER abc"}, token: "abc"},
 		"more spaces":        {values: []string{" Bearer   abc\t"}, token: "abc"},
 		"padded":             {values: []string{"Bearer a-b._~+/=="}, token: "a-b._~+/=="},
-		"longest":            {values: []string{"Bearer " + strings.Repeat("k", longest)}, token: strings.Repeat("k", longest)},
+		"longest":            {values: []string{"Bearer " + strings.Repeat("k", maxTokenBytes)}, token: strings.Repeat("k", maxTokenBytes)},
 		"none":               {err: ErrMissing},
 		"two":                {values: []string{"Bearer a", "Bearer a"}, err: ErrMalformed},
 		"two in one":         {values: []string{"Bearer a, Bearer b"}, err: ErrMalformed},
@@ -30,7 +30,7 @@
 		"padding alone":      {values: []string{"Bearer =="}, err: ErrMalformed},
 		"padding inside":     {values: []string{"Bearer a=b"}, err: ErrMalformed},
 		"control byte":       {values: []string{"Bearer a\x00"}, err: ErrMalformed},
-		"over-long":          {values: []string{"Bearer " + strings.Repeat("k", longest+1)}, err: ErrMalformed},
+		"over-long":          {values: []string{"Bearer " + strings.Repeat("k", maxTokenBytes+1)}, err: ErrMalformed},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/connection/callers/listener.go
+++ b/internal/connection/callers/listener.go
@@ -1,4 +1,4 @@
-// Package callers takes the connections of callers.
+// Package callers accepts the connections of callers.
 package callers
 
 import (
@@ -14,17 +14,18 @@
 	"carawayspread"
 )
 
-// drainPoll is short against what a grace has left, and gives way to the goroutine that accepts.
+// drainPoll is short compared with the rest of a grace period, and yields to the goroutine that
+// accepts.
 const drainPoll = time.Millisecond
 
-// Listener is a TCP listener that accepts who has connected before it closes.
+// Listener is a TCP listener that accepts all pending connections before it closes.
 type Listener struct {
 	*net.TCPListener
 	clock   carawayspread.Clock
-	stopped atomic.Bool // nothing is accepted any more
+	stopped atomic.Bool // no connection is accepted any more
 }
 
-// Listen takes connections at an IPv4 number and port.
+// Listen listens at an IPv4 address and port.
 func Listen(address string, clock carawayspread.Clock) (*Listener, error) {
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -33,12 +34,12 @@
 	return &Listener{TCPListener: l.(*net.TCPListener), clock: clock}, nil
 }
 
-// Drain closes the listener once nobody waits to be accepted, at the latest
-// when ctx ends. Accept has to go on meanwhile.
+// Drain closes the listener once no connection is pending, at the latest when ctx ends. Accept must
+// be called in the meantime.
 //
-// The kernel resets what it has set up and nobody has accepted when a listener
-// closes, though its request may have been sent already. A busy process accepts
-// late, so the look is at the kernel's queue.
+// When a listener closes, the kernel resets the connections that are established but not accepted,
+// although their requests may have been sent already. A busy process accepts late, so Drain checks
+// the kernel's queue.
 func (l *Listener) Drain(ctx context.Context) error {
 	idle, err := l.stopIfIdle()
 	for !idle && err == nil && ctx.Err() == nil {
@@ -51,7 +52,7 @@
 	return trace.Wrap(errors.Join(err, l.Close()))
 }
 
-// Accept returns the next connection, or net.ErrClosed from Drain's end on.
+// Accept returns the next connection, or net.ErrClosed once Drain has closed the listener.
 func (l *Listener) Accept() (net.Conn, error) {
 	conn, err := l.TCPListener.Accept()
 	if err != nil && l.stopped.Load() {
@@ -60,10 +61,10 @@
 	return conn, err
 }
 
-// stopIfIdle stops listening unless a connection is set up that nobody has accepted.
+// stopIfIdle stops listening unless an established connection has not been accepted yet.
 //
-// Closing the descriptor would wait for the goroutine that accepts to let go of it, and
-// connections would be set up meanwhile: the port is shut down right after the look.
+// Closing the descriptor would wait until the goroutine that accepts releases it, and connections
+// would be established in the meantime. The socket is therefore shut down right after the check.
 func (l *Listener) stopIfIdle() (idle bool, err error) {
 	raw, err := l.SyscallConn()
 	if err != nil {
@@ -79,7 +80,7 @@
 		}
 	})
 	if errors.Is(failed, unix.EINTR) {
-		return false, nil // not seen: look again
+		return false, nil // not checked: poll again
 	}
 	return idle, errors.Join(err, failed)
 }
--- a/internal/connection/callers/listener_test.go
+++ b/internal/connection/callers/listener_test.go
@@ -14,10 +14,10 @@
 	"carawayspread/internal/connection/callers"
 )
 
-// A caller has connected and sent its request; the process, busy, has not
-// accepted it yet when it is told to end and closes its port. The caller is
-// accepted first, and its connection is not reset. Later ones are refused.
-func TestClosingAcceptsWhoWaits(t *testing.T) {
+// A caller has connected and sent its request, which a busy process has not accepted yet when it is
+// stopped and closes its listener. The connection must be accepted first and not reset. Later ones
+// must be refused.
+func TestDrainAcceptsPendingConnections(t *testing.T) {
 	l, err := callers.Listen("127.0.0.1:0", carawayspread.SystemClock())
 	qt.Assert(t, err, qt.IsNil)
 	conn, err := net.Dial("tcp4", l.Addr().String())
@@ -45,8 +45,8 @@
 	qt.Check(t, err, qt.ErrorIs, syscall.ECONNREFUSED)
 }
 
-// Nobody accepts any more. Who drains learns it when its time is over, and
-// callers are refused rather than left to wait.
+// Nothing accepts any more. Drain must return the error of its context when that ends, and callers
+// must be refused rather than left waiting.
 func TestDrainEndsWithItsContext(t *testing.T) {
 	l, err := callers.Listen("127.0.0.1:0", carawayspread.SystemClock())
 	qt.Assert(t, err, qt.IsNil)
@@ -60,21 +60,21 @@
 	qt.Check(t, err, qt.ErrorIs, syscall.ECONNREFUSED)
 }
 
-// Guards against a caller that is connected by a port which is about to close, since the
-// goroutine that accepts is late in letting go of it, and is reset with its request sent.
-func TestPortTakesNobodyOnceItHasDrained(t *testing.T) {
+// Guards against connections that are established while the listener closes, as the goroutine that
+// accepts releases the descriptor late, and are reset although their requests were sent.
+func TestDrainedListenerRefusesConnections(t *testing.T) {
 	l, err := callers.Listen("127.0.0.1:0", carawayspread.SystemClock())
 	qt.Assert(t, err, qt.IsNil)
 	raw, err := l.SyscallConn()
 	qt.Assert(t, err, qt.IsNil)
-	using, late, drained := make(chan struct{}), make(chan struct{}), make(chan error, 1)
-	go func() { // a use of the port that has not ended, as a late Accept is
+	inUse, release, drained := make(chan struct{}), make(chan struct{}), make(chan error, 1)
+	go func() { // a use of the descriptor that has not ended, as in a late Accept
 		_ = raw.Control(func(uintptr) {
-			close(using)
-			<-late
+			close(inUse)
+			<-release
 		})
 	}()
-	<-using
+	<-inUse
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -92,8 +92,8 @@
 			_ = conn.Close()
 		}
 	}
-	close(late)
-	qt.Check(t, refused, qt.IsTrue, qt.Commentf("the port takes connections until it is let go of"))
+	close(release)
+	qt.Check(t, refused, qt.IsTrue, qt.Commentf("connections are established until the descriptor is released"))
 	qt.Check(t, <-drained, qt.IsNil)
 	_, err = l.Accept()
 	qt.Check(t, err, qt.ErrorIs, net.ErrClosed)
--- a/internal/connection/engine/engine.go
+++ b/internal/connection/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine speaks the order protocol of a model engine: orders and
-// state, as JSON over HTTP.
+// Package engine is the client of a model engine's control protocol: orders and state, as JSON over
+// HTTP.
 package engine
 
 import (
@@ -15,23 +15,23 @@
 	"carawayspread"
 )
 
-const stateLimit = 1 << 20 // bytes of a state that are read
+const maxStateBytes = 1 << 20 // longer answers are cut off
 
-// Client is a carawayspread.Engine at an address.
+// Client is a carawayspread.Engine that is reached over HTTP.
 type Client struct {
-	base string // scheme, IP number and port
+	base string // scheme, IP address and port
 	http *http.Client
 }
 
 var _ carawayspread.Engine = (*Client)(nil)
 
-// New returns the client of the engine at that IP number and port.
+// New returns the client of the engine at an IP address and port.
 func New(address string, client *http.Client) *Client {
 	return &Client{base: "http://" + address, http: client}
 }
 
-// Order carries out one order and returns the state after it. The outcome of
-// an order whose answer did not arrive is unknown.
+// Order sends one order and returns the state of the engine after it. The outcome of an order whose
+// answer did not arrive is unknown.
 func (c *Client) Order(ctx context.Context, order carawayspread.Order) (carawayspread.EngineState, error) {
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return c.call(ctx, http.MethodPost, "/orders", body)
 }
 
-// State reads the engine's account of itself.
+// State reads the state that the engine reports.
 func (c *Client) State(ctx context.Context) (carawayspread.EngineState, error) {
 	return c.call(ctx, http.MethodGet, "/state", nil)
 }
@@ -55,7 +55,7 @@
 		return state, trace.ConnectionProblem(err, "engine does not answer")
 	}
 	defer func() { _ = resp.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, stateLimit))
+	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxStateBytes))
 	if err != nil {
 		return state, trace.Wrap(err)
 	}
--- a/internal/connection/hopbyhop/hopbyhop.go
+++ b/internal/connection/hopbyhop/hopbyhop.go
@@ -1,5 +1,4 @@
-// Package hopbyhop knows the HTTP headers that concern one connection only
-// (RFC 9110, 7.6.1).
+// Package hopbyhop removes the HTTP headers that apply to one connection only (RFC 9110, 7.6.1).
 package hopbyhop
 
 import (
@@ -12,7 +11,7 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// Strip removes them, and those that the header names as such itself.
+// Strip removes the hop-by-hop headers and those that Connection lists as such.
 func Strip(h http.Header) {
 	for _, value := range h.Values("Connection") {
 		for name := range strings.SplitSeq(value, ",") {
--- a/internal/connection/hopbyhop/hopbyhop_test.go
+++ b/internal/connection/hopbyhop/hopbyhop_test.go
@@ -7,8 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against headers of one connection that reach the next peer, and end-to-end
-// headers that do not.
+// Guards against hop-by-hop headers that are forwarded, and end-to-end headers that are not.
 func TestStrip(t *testing.T) {
 	h := http.Header{
 		"Connection": {"close, X-Once", "x-twice"}, "Keep-Alive": {"timeout=10"}, "Te": {"trailers"},
--- a/internal/connection/instancelist/bench_test.go
+++ b/internal/connection/instancelist/bench_test.go
@@ -16,7 +16,7 @@
 	"carawayspread/internal/standin/instances"
 )
 
-// countingConn counts what a connection carries in both directions.
+// countingConn counts the bytes that a connection carries in both directions.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -34,8 +34,8 @@
 	return n, err
 }
 
-// BenchmarkRead reports the bytes of a poll of the list, unchanged and changed,
-// by the number of sidecars with four workers each.
+// BenchmarkRead reports the bytes on the wire of a poll of the list, unchanged and changed, by the
+// number of sidecars with four workers each.
 func BenchmarkRead(b *testing.B) {
 	for _, sidecars := range []int{5, 50, 325} {
 		service := instances.New(carawayspread.SystemClock(), 0)
@@ -62,12 +62,12 @@
 					conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, network, address)
 					return countingConn{conn, &bytes}, err
 				}
-				_, have, err := list.List(context.Background(), "")
+				_, current, err := list.List(context.Background(), "")
 				qt.Assert(b, err, qt.IsNil)
 				bytes.Store(0)
 				n := 0
 				for b.Loop() {
-					revision := have
+					revision := current
 					if changed {
 						revision = ""
 					}
--- a/internal/connection/instancelist/doc.go
+++ b/internal/connection/instancelist/doc.go
@@ -1,3 +1,3 @@
-// Package instancelist reads the platform's list of instances over HTTP. An
-// unchanged list costs an answer without a body.
+// Package instancelist reads the platform's list of instances over HTTP. If the list is unchanged, the
+// answer has no body.
 package instancelist
--- a/internal/connection/instancelist/list.go
+++ b/internal/connection/instancelist/list.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	maxListBytes    = 16 << 20 // 1,660 rows of the target size take under 1 MB
+	maxListBytes    = 16 << 20 // 1,660 rows, at the target size, take less than 1 MB
 	idleConnTimeout = 90 * time.Second
 )
 
@@ -25,8 +25,8 @@
 	url    string
 }
 
-// listing is the JSON form of the list.
-type listing struct {
+// listResponse is the JSON body of the list.
+type listResponse struct {
 	Instances []carawayspread.Instance `json:"instances"`
 }
 
@@ -39,15 +39,15 @@
 // Close closes idle connections.
 func (l *List) Close() { l.client.CloseIdleConnections() }
 
-// List returns all instances and the revision of the list, or nil and the
-// same revision when the list is still at the one that the caller has.
-func (l *List) List(ctx context.Context, have string) ([]carawayspread.Instance, string, error) {
+// List returns all instances and the revision of the list, or nil and the same revision if the list
+// still has the given one, which is empty if the caller has no list.
+func (l *List) List(ctx context.Context, revision string) ([]carawayspread.Instance, string, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, l.url, nil)
 	if err != nil {
 		return nil, "", trace.Wrap(err)
 	}
-	if have != "" {
-		r.Header.Set("If-None-Match", have)
+	if revision != "" {
+		r.Header.Set("If-None-Match", revision)
 	}
 	resp, err := l.client.Do(r)
 	if err != nil {
@@ -56,7 +56,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	switch resp.StatusCode {
 	case http.StatusNotModified:
-		return nil, have, nil
+		return nil, revision, nil
 	case http.StatusOK:
 		instances, err := decode(resp.Body)
 		return instances, resp.Header.Get("ETag"), err
@@ -64,24 +64,24 @@
 	return nil, "", fmt.Errorf("instance list: status %d", resp.StatusCode)
 }
 
-// decode reads a list. It refuses the list as a whole when a row is unusable:
-// a list that lacks a row would look as if the instance had gone.
+// decode reads a list. It rejects the whole list if a row is invalid: without that row it would look
+// as if the instance were gone.
 func decode(body io.Reader) ([]carawayspread.Instance, error) {
-	var list listing
-	if err := json.NewDecoder(io.LimitReader(body, maxListBytes)).Decode(&list); err != nil {
+	var response listResponse
+	if err := json.NewDecoder(io.LimitReader(body, maxListBytes)).Decode(&response); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	if list.Instances == nil {
-		return nil, fmt.Errorf("instance list: no member named instances")
+	if response.Instances == nil {
+		return nil, fmt.Errorf("instance list: field instances is missing")
 	}
 	seen := map[string]bool{}
-	for i, instance := range list.Instances {
+	for i, instance := range response.Instances {
 		if err := validate(instance, seen); err != nil {
 			return nil, fmt.Errorf("instance list: row %d: %w", i, err)
 		}
 		seen[instance.ID] = true
 	}
-	return list.Instances, nil
+	return response.Instances, nil
 }
 
 func validate(instance carawayspread.Instance, seen map[string]bool) error {
--- a/internal/connection/instancelist/list_test.go
+++ b/internal/connection/instancelist/list_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestListFollowsRevisionsAndLag(t *testing.T) {
+func TestListRevisionAndLag(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	service := instances.New(clock, 5*time.Second)
 	server := httptest.NewServer(service)
@@ -27,17 +27,17 @@
 	ctx := context.Background()
 
 	service.Put(carawayspread.Instance{ID: "a", State: carawayspread.InstanceLive, Address: "127.0.0.1:1"})
-	rows, first, err := list.List(ctx, "")
+	listed, first, err := list.List(ctx, "")
 	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, rows, qt.HasLen, 0, qt.Commentf("the lag hides the row"))
+	qt.Check(t, listed, qt.HasLen, 0, qt.Commentf("the lag hides the row"))
 	clock.Advance(5 * time.Second)
-	rows, second, err := list.List(ctx, first)
+	listed, second, err := list.List(ctx, first)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, rows, qt.HasLen, 1)
+	qt.Check(t, listed, qt.HasLen, 1)
 	qt.Check(t, second, qt.Not(qt.Equals), first)
-	rows, third, err := list.List(ctx, second)
+	listed, third, err := list.List(ctx, second)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, rows, qt.IsNil)
+	qt.Check(t, listed, qt.IsNil)
 	qt.Check(t, third, qt.Equals, second)
 }
 
@@ -45,14 +45,14 @@
 	f.Add([]byte(`{"instances":[{"id":"a","address":"127.0.0.1:1"}]}`))
 	f.Add([]byte(`{"instances":[{"id":"a"},{"id":"a"}]}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		rows, err := decode(bytes.NewReader(body))
+		listed, err := decode(bytes.NewReader(body))
 		if err != nil {
 			return
 		}
 		ids := map[string]bool{}
-		for _, row := range rows {
-			qt.Assert(t, row.ID == "" || ids[row.ID], qt.IsFalse)
-			ids[row.ID] = true
+		for _, instance := range listed {
+			qt.Assert(t, instance.ID == "" || ids[instance.ID], qt.IsFalse)
+			ids[instance.ID] = true
 		}
 	})
 }
--- a/internal/connection/report/report_test.go
+++ b/internal/connection/report/report_test.go
@@ -10,17 +10,17 @@
 	"carawayspread/internal/connection/control"
 )
 
-// An entry hears that an endpoint drains, and then an older report that it is
-// free, which the network delayed. Without the order of sequence numbers the
-// entry would send work to the draining endpoint until the next report.
-func TestOvertakenReportIsDropped(t *testing.T) {
+// An entry receives the report that an endpoint drains, and then an older one, delayed by the
+// network, that it is free. If sequence numbers were not compared, the entry would send work to the
+// draining endpoint until the next report.
+func TestReorderedReportIsDropped(t *testing.T) {
 	newest := map[string]uint64{}
 	qt.Check(t, inOrder(newest, &control.LoadReport{Instance: "a", Sequence: 2}), qt.IsTrue)
 	qt.Check(t, inOrder(newest, &control.LoadReport{Instance: "a", Sequence: 1}), qt.IsFalse)
 	qt.Check(t, inOrder(newest, &control.LoadReport{Instance: "b", Sequence: 1}), qt.IsTrue)
 }
 
-func TestIntervalKeepsTheBudget(t *testing.T) {
+func TestIntervalStaysWithinBudget(t *testing.T) {
 	tests := map[string]struct {
 		sidecars, bytes int
 		want            time.Duration
--- a/internal/connection/report/role.go
+++ b/internal/connection/report/role.go
@@ -5,7 +5,7 @@
 	"carawayspread/internal/connection/control"
 )
 
-// EncodeRole returns the role as reports carry it.
+// EncodeRole returns the role in the form that reports carry.
 func EncodeRole(role carawayspread.Role) control.Role {
 	switch role {
 	case carawayspread.RoleBoth:
@@ -18,7 +18,7 @@
 	return control.Role_ROLE_UNKNOWN
 }
 
-// DecodeRole returns the role that a report carries, empty when unknown.
+// DecodeRole returns the role that a report carries; empty if unknown.
 func DecodeRole(role control.Role) carawayspread.Role {
 	switch role {
 	case control.Role_ROLE_BOTH:
--- a/internal/connection/tableclient/bench_test.go
+++ b/internal/connection/tableclient/bench_test.go
@@ -15,26 +15,26 @@
 	"carawayspread/internal/connection/groupcommit"
 )
 
-// storeTime is what the stand-in adds to each request, as a near table service.
-const storeTime = 5 * time.Millisecond
+// storeLatency is the latency that the stand-in adds to each request, that of a nearby table service.
+const storeLatency = 5 * time.Millisecond
 
 var claims atomic.Uint64
 
 func nextClaim() carawayspread.Write { return claim(fmt.Sprint(claims.Add(1))) }
 
-// BenchmarkOperation times one operation after the other on loopback, with the
-// stand-in's own share, through the client alone and through all decorators.
+// BenchmarkOperation times sequential operations over loopback, through the client alone and through
+// all decorators. The times include that of the stand-in.
 func BenchmarkOperation(b *testing.B) {
 	client, _ := startClient(b, carawayspread.SystemClock())
 	ctx := context.Background()
-	whole := NewTable(client, carawayspread.SystemClock(), metrics.NewSet(), WithGroups(groupcommit.WithWindow(0), groupcommit.WithSpacing(0)))
-	for name, table := range map[string]carawayspread.Table{"client": client, "decorated": whole} {
-		known := nextClaim()
-		if err := table.Apply(ctx, known); err != nil {
+	decorated := NewTable(client, carawayspread.SystemClock(), metrics.NewSet(), WithGroups(groupcommit.WithWindow(0), groupcommit.WithSpacing(0)))
+	for name, table := range map[string]carawayspread.Table{"client": client, "decorated": decorated} {
+		existing := nextClaim()
+		if err := table.Apply(ctx, existing); err != nil {
 			b.Fatal(err)
 		}
 		operations := map[string]func() error{
-			"get":           func() error { _, err := table.Get(ctx, known.Item.Key); return err },
+			"get":           func() error { _, err := table.Get(ctx, existing.Item.Key); return err },
 			"query":         func() error { _, err := table.Query(ctx, "claim", "", 10); return err },
 			"put":           func() error { return table.Apply(ctx, nextClaim()) },
 			"transaction10": func() error { return table.Apply(ctx, manyClaims(10)...) },
@@ -60,24 +60,24 @@
 	return writes
 }
 
-// BenchmarkWritesAtOnce lets 200 callers write one claim after the other to a
-// store of 5 ms, grouped and singly.
-func BenchmarkWritesAtOnce(b *testing.B) {
+// BenchmarkConcurrentWrites has 200 callers that each write claims sequentially to a store with a
+// latency of 5 ms, with and without group commit.
+func BenchmarkConcurrentWrites(b *testing.B) {
 	const callers = 200
 	for _, grouped := range []bool{false, true} {
 		b.Run(fmt.Sprintf("grouped=%v", grouped), func(b *testing.B) {
 			client, service := startClient(b, carawayspread.SystemClock())
-			service.SetSlow(storeTime)
+			service.SetSlow(storeLatency)
 			var table carawayspread.Table = client
 			if grouped {
 				table = NewTable(client, carawayspread.SystemClock(), metrics.NewSet())
 			}
 			var wg sync.WaitGroup
-			var left atomic.Int64
-			left.Store(int64(b.N))
+			var remaining atomic.Int64
+			remaining.Store(int64(b.N))
 			for range callers {
 				wg.Go(func() {
-					for left.Add(-1) >= 0 {
+					for remaining.Add(-1) >= 0 {
 						if err := table.Apply(context.Background(), nextClaim()); err != nil {
 							b.Error(err)
 						}
@@ -91,15 +91,15 @@
 	}
 }
 
-// BenchmarkPacedWrites lets writes arrive at random instants at the rate of one
-// entry and counts the requests at the platform, by spacing.
+// BenchmarkPacedWrites has writes arrive at random times, at the rates of one entry, and reports the
+// requests at the platform and the latency by the spacing of groups.
 func BenchmarkPacedWrites(b *testing.B) {
 	for _, rate := range []int{20, 130, 500} {
 		for _, spacing := range []time.Duration{0, 20, 50, 100} {
 			spacing *= time.Millisecond
 			b.Run(fmt.Sprintf("rate=%d/spacing=%v", rate, spacing), func(b *testing.B) {
 				client, service := startClient(b, carawayspread.SystemClock())
-				service.SetSlow(storeTime)
+				service.SetSlow(storeLatency)
 				table := NewTable(client, carawayspread.SystemClock(), metrics.NewSet(), WithGroups(groupcommit.WithSpacing(spacing)))
 				random := rand.New(rand.NewPCG(1, 2))
 				var wg sync.WaitGroup
--- a/internal/connection/tableclient/linearizable_test.go
+++ b/internal/connection/tableclient/linearizable_test.go
@@ -18,7 +18,7 @@
 
 const keys = 3
 
-// content is what a key holds; a revision of zero is a free key.
+// content is the value of a key; a revision of zero means that there is no item.
 type content struct {
 	rev   uint64
 	token string
@@ -26,23 +26,23 @@
 
 type contents [keys]content
 
-// call is a read of one key, or writes with the revisions that they expect.
+// call is a read of one key, or writes with the revisions that they require.
 type call struct {
 	read   int
 	token  string
 	writes map[int]uint64 // nil for a read
 }
 
-// answer is what the caller was told.
-type answer struct {
+// result is what the caller received.
+type result struct {
 	err  error
 	seen content
 }
 
-// step is the table as callers may rely on it. An unknown outcome may be either,
-// at any time: its call never returns in the history.
+// step is the sequential model of the table that callers may rely on. A call of unknown outcome may
+// take effect or not, at any time: it never returns in the history.
 func step(state, input, output any) (bool, any) {
-	s, in, out := state.(contents), input.(call), output.(answer)
+	s, in, out := state.(contents), input.(call), output.(result)
 	if in.writes == nil {
 		return out.err != nil || s[in.read] == out.seen, s
 	}
@@ -62,16 +62,16 @@
 	return true, next
 }
 
-// Callers race for three keys, alone and in transactions, through all
-// decorators. The store loses answers after the writes took effect, and callers
-// go away while their writes are in flight. Whatever they are told has to fit
-// one order of events, in which a failed condition or "not written" is true.
+// Callers compete for three keys, with single writes and transactions, through all decorators. The
+// store loses answers after the writes took effect, and callers cancel while their writes are in
+// flight. All results together must be linearizable, where a failed condition or "not written" is
+// true.
 func TestLinearizableUnderLostAnswers(t *testing.T) {
 	table, service := start(t)
 	began := time.Now()
 	var mu sync.Mutex
 	var history []porcupine.Operation
-	record := func(client int, in call, do func() answer) answer {
+	record := func(client int, in call, do func() result) result {
 		op := porcupine.Operation{ClientId: client, Input: in, Call: int64(time.Since(began))}
 		out := do()
 		op.Output, op.Return = out, int64(time.Since(began))
@@ -90,8 +90,8 @@
 			for n := range 40 {
 				writes := map[int]uint64{}
 				for _, key := range random.Perm(keys)[:1+n%4/3] { // every fourth is a transaction
-					seen := record(client, call{read: key}, func() answer { return read(table, key) })
-					writes[key] = seen.seen.rev
+					current := record(client, call{read: key}, func() result { return read(table, key) })
+					writes[key] = current.seen.rev
 				}
 				if random.IntN(4) == 0 {
 					service.LoseAnswers(1)
@@ -101,7 +101,7 @@
 					time.AfterFunc(time.Duration(random.IntN(6))*time.Millisecond, cancel)
 				}
 				in := call{token: fmt.Sprintf("%d/%d", client, n), writes: writes}
-				record(client, in, func() answer { return answer{err: table.Apply(ctx, in.encode()...)} })
+				record(client, in, func() result { return result{err: table.Apply(ctx, in.encode()...)} })
 				cancel()
 			}
 		})
@@ -115,12 +115,12 @@
 	return err != nil && !errors.Is(err, carawayspread.ErrCondition) && !errors.Is(err, carawayspread.ErrUnavailable)
 }
 
-func read(table carawayspread.Table, key int) answer {
+func read(table carawayspread.Table, key int) result {
 	item, err := table.Get(context.Background(), keyOf(key))
 	if errors.Is(err, carawayspread.ErrNoItem) {
 		err = nil
 	}
-	return answer{err: err, seen: content{rev: item.Rev, token: item.Token}}
+	return result{err: err, seen: content{rev: item.Rev, token: item.Token}}
 }
 
 func keyOf(key int) carawayspread.Key {
--- a/internal/connection/tableclient/table.go
+++ b/internal/connection/tableclient/table.go
@@ -15,49 +15,49 @@
 	"carawayspread/internal/connection/timeout"
 )
 
-// Times of the table service. A healthy one answers within tens of
-// milliseconds; a second is far beyond that and still short for a caller.
+// Timeouts and backoff of the table service. A healthy one answers within tens of milliseconds; a
+// second is far longer than that and still short for a caller.
 const (
-	defaultRead   = time.Second
-	defaultWrite  = 2 * time.Second
-	retryBase     = 50 * time.Millisecond
-	retryLimit    = time.Second
-	trialBase     = 500 * time.Millisecond
-	trialLimit    = 5 * time.Second
-	layerCaller   = "caller"
-	layerPlatform = "platform"
+	defaultReadTimeout  = time.Second
+	defaultWriteTimeout = 2 * time.Second
+	retryBase           = 50 * time.Millisecond
+	retryLimit          = time.Second
+	probeBase           = 500 * time.Millisecond
+	probeLimit          = 5 * time.Second
+	layerCaller         = "caller"
+	layerPlatform       = "platform"
 )
 
 type settings struct {
-	read, write time.Duration
-	group       []groupcommit.Option
+	readTimeout, writeTimeout time.Duration
+	groupOptions              []groupcommit.Option
 }
 
-// Option sets an optional part of the table.
+// Option sets an option of the table.
 type Option func(*settings)
 
 // WithTimeouts bounds each single read and write.
 func WithTimeouts(read, write time.Duration) Option {
-	return func(s *settings) { s.read, s.write = read, write }
+	return func(s *settings) { s.readTimeout, s.writeTimeout = read, write }
 }
 
 // WithGroups passes options to the group commit.
 func WithGroups(opts ...groupcommit.Option) Option {
-	return func(s *settings) { s.group = append(s.group, opts...) }
+	return func(s *settings) { s.groupOptions = append(s.groupOptions, opts...) }
 }
 
-// NewTable returns the client with all decorators.
+// NewTable returns the client wrapped in all decorators.
 func NewTable(client carawayspread.Table, clock carawayspread.Clock, set *metrics.Set, opts ...Option) carawayspread.Table {
-	s := settings{read: defaultRead, write: defaultWrite}
+	s := settings{readTimeout: defaultReadTimeout, writeTimeout: defaultWriteTimeout}
 	for _, opt := range opts {
 		opt(&s)
 	}
-	short := backoff.New(clock, retryBase, retryLimit)
+	retryBackoff := backoff.New(clock, retryBase, retryLimit)
 	var table carawayspread.Table = metered.New(client, clock, set, layerPlatform)
-	table = timeout.New(table, s.read, s.write)
-	table = breaker.New(table, clock, backoff.New(clock, trialBase, trialLimit))
-	table = retry.New(table, short)
-	table = readback.New(table, short)
-	table = groupcommit.New(table, clock, s.group...)
+	table = timeout.New(table, s.readTimeout, s.writeTimeout)
+	table = breaker.New(table, clock, backoff.New(clock, probeBase, probeLimit))
+	table = retry.New(table, retryBackoff)
+	table = readback.New(table, retryBackoff)
+	table = groupcommit.New(table, clock, s.groupOptions...)
 	return metered.New(table, clock, set, layerCaller)
 }
--- a/internal/connection/tableclient/table_test.go
+++ b/internal/connection/tableclient/table_test.go
@@ -39,25 +39,25 @@
 	return carawayspread.Write{Item: item}
 }
 
-// The store accepts connections and never answers. A caller gives up while the
-// store holds its write. "Not written" would be false: the write takes effect
-// once the store goes on. So the caller is told unknown.
-func TestSlowStoreHoldsTheWrite(t *testing.T) {
+// The store accepts connections and does not answer. A caller cancels while the store holds its
+// write. "Not written" would be false, as the write takes effect once the store continues. The
+// outcome must be unknown.
+func TestAbandonedWriteToSlowStoreIsUnknown(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	client, service := startClient(t, clock)
 	table := NewTable(client, carawayspread.SystemClock(), metrics.NewSet(), WithTimeouts(time.Minute, time.Minute))
 	service.SetSlow(time.Hour)
-	ctx, giveUp := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		defer giveUp()
+		defer cancel()
 		_ = clock.BlockUntilContext(ctx, 1) // the stand-in holds the write
 	}()
-	err := table.Apply(ctx, claim("slow"), claim("with it")) // two, so that no group has it
+	err := table.Apply(ctx, claim("slow"), claim("with it")) // two writes, which are not grouped with others
 	qt.Check(t, unknown(err), qt.IsTrue, qt.Commentf("%v", err))
 	service.Clear()
 	clock.Advance(time.Hour)
 	item, err := client.Get(context.Background(), claim("slow").Item.Key)
-	for errors.Is(err, carawayspread.ErrNoItem) { // the held write is being carried out
+	for errors.Is(err, carawayspread.ErrNoItem) { // the held write is being performed
 		time.Sleep(time.Millisecond)
 		item, err = client.Get(context.Background(), claim("slow").Item.Key)
 	}
@@ -65,25 +65,25 @@
 	qt.Check(t, item.Rev, qt.Equals, uint64(1))
 }
 
-// The store goes down. What was under way is unknown; what comes later is
-// refused at once, as not written and with the time to come back. When the store
-// returns, so does the service, without a restart.
-func TestStoreDownAndBack(t *testing.T) {
+// The store goes down. Writes in flight have an unknown outcome; later ones are refused at once, as
+// not written and with the time after which to retry. When the store is up again, writes succeed
+// without a restart.
+func TestRecoversAfterStoreOutage(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	client, service := startClient(t, carawayspread.SystemClock())
 	set := metrics.NewSet()
 	ctx := context.Background()
-	table := NewTable(client, &instant{clock}, set)
+	table := NewTable(client, &instantClock{clock}, set)
 	service.SetDown(true)
-	var timed interface{ RetryAfter() time.Duration }
+	var retryable interface{ RetryAfter() time.Duration }
 	var err error
-	for !errors.As(err, &timed) {
+	for !errors.As(err, &retryable) {
 		err = table.Apply(ctx, claim("down"))
 	}
 	qt.Check(t, err, qt.ErrorIs, carawayspread.ErrUnavailable)
-	qt.Check(t, timed.RetryAfter() > 0, qt.IsTrue)
+	qt.Check(t, retryable.RetryAfter() > 0, qt.IsTrue)
 	service.Clear()
-	clock.Advance(trialLimit)
+	clock.Advance(probeLimit)
 	qt.Check(t, table.Apply(ctx, claim("back")), qt.IsNil)
 	var page bytes.Buffer
 	set.WritePrometheus(&page)
@@ -91,11 +91,11 @@
 	qt.Check(t, strings.Contains(page.String(), want), qt.IsTrue, qt.Commentf("%s", &page))
 }
 
-// instant is a clock that stands still and whose waits are over at once.
-type instant struct{ *clockwork.FakeClock }
+// instantClock is a clock that does not advance and whose timers fire at once.
+type instantClock struct{ *clockwork.FakeClock }
 
-func (instant) After(time.Duration) <-chan time.Time {
-	over := make(chan time.Time, 1)
-	over <- time.Time{}
-	return over
+func (instantClock) After(time.Duration) <-chan time.Time {
+	fired := make(chan time.Time, 1)
+	fired <- time.Time{}
+	return fired
 }
--- a/internal/connection/timeout/doc.go
+++ b/internal/connection/timeout/doc.go
@@ -1,6 +1,5 @@
-// Package timeout bounds every single request to the table service.
+// Package timeout bounds the duration of every single request to the table service.
 //
-// Without it one request to a store that accepts connections and never answers
-// holds its caller, its connection and its place in a queue for ever. A write
-// that runs out of time has an unknown outcome.
+// Without it, a request to a store that accepts connections and never answers would hold its caller,
+// its connection and its slot in a queue forever. A write that times out has an unknown outcome.
 package timeout
--- a/internal/connection/uptime/uptime.go
+++ b/internal/connection/uptime/uptime.go
@@ -1,4 +1,4 @@
-// Package uptime reads the kernel's clock that also counts suspension.
+// Package uptime reads the kernel's clock that also advances while the system is suspended.
 package uptime
 
 import (
@@ -14,10 +14,10 @@
 
 var _ carawayspread.Uptime = Clock{}
 
-// Uptime returns the time since the machine started.
+// Uptime returns the time since the operating system started.
 func (Clock) Uptime() time.Duration {
 	var now unix.Timespec
-	// The call fails for an unknown clock or a bad address alone.
+	// The call fails only for an unknown clock or an invalid address.
 	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &now)
 	return time.Duration(now.Nano())
 }
--- a/internal/connection/weights/store.go
+++ b/internal/connection/weights/store.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	defaultRetryAfter = 5 * time.Second // where the store names no time
+	defaultRetryAfter = 5 * time.Second // if the store sends no Retry-After
 	idleConnTimeout   = 90 * time.Second
 )
 
@@ -24,8 +24,8 @@
 	client *http.Client
 	url    string
 	clock  carawayspread.Clock
-	// closedUntil is when the store takes requests again, in Unix nanoseconds.
-	closedUntil atomic.Int64
+	// limitedUntil is the time until which the store refuses requests, in Unix nanoseconds.
+	limitedUntil atomic.Int64
 }
 
 // New returns the weight store at a base URL such as http://127.0.0.1:6000.
@@ -37,13 +37,13 @@
 // Close closes idle connections.
 func (s *Store) Close() { s.client.CloseIdleConnections() }
 
-// Fetch copies the weights with that name to w and returns their size. Beyond
-// the store's rate it returns an *carawayspread.Error that says when to come
-// back; until then it refuses without a request, so that processes which all
-// want weights do not use up the store's rate by being refused.
+// Fetch copies the weights with that name to w and returns their size. Beyond the store's rate limit
+// it returns a *carawayspread.Error with the time after which to retry. Until then it refuses without
+// a request, so that processes that all need weights do not use up the store's rate with requests
+// that are refused.
 func (s *Store) Fetch(ctx context.Context, name string, w io.Writer) (int64, error) {
-	if wait := s.wait(); wait > 0 {
-		return 0, limited(wait)
+	if wait := s.remainingWait(); wait > 0 {
+		return 0, rateLimitError(wait)
 	}
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, s.url+name, nil)
 	if err != nil {
@@ -59,21 +59,21 @@
 		n, err := io.Copy(w, resp.Body)
 		return n, trace.Wrap(err)
 	case http.StatusTooManyRequests:
-		wait, named := retryafter.Parse(resp.Header, s.clock.Now())
-		if !named {
+		wait, given := retryafter.Parse(resp.Header, s.clock.Now())
+		if !given {
 			wait = defaultRetryAfter
 		}
-		s.closedUntil.Store(s.clock.Now().Add(wait).UnixNano())
-		return 0, limited(wait)
+		s.limitedUntil.Store(s.clock.Now().Add(wait).UnixNano())
+		return 0, rateLimitError(wait)
 	}
 	return 0, fmt.Errorf("weight store: status %d", resp.StatusCode)
 }
 
-func (s *Store) wait() time.Duration {
-	return time.Duration(s.closedUntil.Load() - s.clock.Now().UnixNano())
+func (s *Store) remainingWait() time.Duration {
+	return time.Duration(s.limitedUntil.Load() - s.clock.Now().UnixNano())
 }
 
-func limited(wait time.Duration) error {
+func rateLimitError(wait time.Duration) error {
 	return carawayspread.NewError(carawayspread.CodeOverloaded, "the weight store is at its rate limit",
 		carawayspread.NotRun(), carawayspread.RetryAfter(wait))
 }
--- a/internal/connection/weights/store_test.go
+++ b/internal/connection/weights/store_test.go
@@ -17,9 +17,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Several processes want weights at once. The store refuses beyond its rate
-// and names a time; until then the client refuses by itself, and says when.
-func TestFetchKeepsAwayUntilTold(t *testing.T) {
+// Several processes fetch weights at once. Beyond its rate limit the store refuses with Retry-After.
+// Until that time the client must refuse by itself, without a request and with the time that remains.
+func TestFetchHonoursRetryAfter(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	service := weights.New(clock, 10*time.Second, 1, 64)
 	server := httptest.NewServer(service)
