--- a/internal/connection/adminapi/wire.go
+++ b/internal/connection/adminapi/wire.go
@@ -74,7 +74,7 @@
 // Workspaces is the answer to workspace list and workspace show.
 type Workspaces struct {
 	Version    carawayspread.Version `json:"version"`
-	Workspaces []change.Named        `json:"workspaces"`
+	Workspaces []change.Workspace    `json:"workspaces"`
 }
 
 // Services is the answer to service list.
--- a/internal/process/admin/read.go
+++ b/internal/process/admin/read.go
@@ -18,7 +18,7 @@
 	cfg := a.holder.Current(r.Context())
 	age, _ := a.holder.Staleness()
 	return adminapi.Configuration{
-		Version: cfg.Version(), EvidenceAgeMs: age.Milliseconds(), Config: change.Of(cfg),
+		Version: cfg.Version(), EvidenceAgeMs: age.Milliseconds(), Config: change.FromConfig(cfg),
 	}, nil
 }
 
@@ -97,7 +97,7 @@
 			auditLine.Verdict = auditrecord.Refused
 		}
 	}
-	if noteErr := a.configLog.Note(r.Context(), auditLine); noteErr != nil {
+	if noteErr := a.configLog.WriteAudit(r.Context(), auditLine); noteErr != nil {
 		a.logger.WithField("actor", actor).WithError(noteErr).Warn("admin.auditUnwritten")
 	}
 	if err != nil {
