--- a/cmd/carawayspread/orders_test.go
+++ b/cmd/carawayspread/orders_test.go
@@ -121,7 +121,7 @@
 func TestSidecarKilledInMidChange(t *testing.T) {
 	t.Parallel()
 	ends := make(chan struct{})
-	e := engine.New(engine.ChecksFence(), engine.ChangeEnds(ends))
+	e := engine.New(engine.ChecksFence(), engine.RoleChangeUntil(ends))
 	o := newOrdered(t, e, true)
 	first := o.sidecar()
 	o.order(carawayspread.RoleDecode)
--- a/cmd/gateway/alone_test.go
+++ b/cmd/gateway/alone_test.go
@@ -56,14 +56,14 @@
 	f.list(stays, "plain", "", "ready", 1)
 	f.list(w, "plain", "", "draining", 2)
 	time.Sleep(4 * time.Second) // both have read the list, one after the other
-	before := len(w.Seen())
+	before := len(w.Requests())
 	for i := range 8 {
 		resp, _, err := late.ask("POST", "/order/x", fmt.Sprint("id-late-", i), fmt.Sprint("body ", i))
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, resp.StatusCode, qt.Equals, 200)
 	}
-	qt.Check(t, len(w.Seen()), qt.Equals, before)
-	qt.Check(t, stays.Ran(), qt.Equals, 8)
+	qt.Check(t, len(w.Requests()), qt.Equals, before)
+	qt.Check(t, stays.Runs(), qt.Equals, 8)
 }
 
 // No caller's connection closes without an answer because its process ends. The
@@ -93,7 +93,7 @@
 	f := newFleet(t)
 	script := make([]worker.Behaviour, 40)
 	for i := range script {
-		script[i] = worker.Extra
+		script[i] = worker.ExtraAnswer
 	}
 	w := startWorker(t, "w", script...)
 	f.list(w, "plain", "", "ready", 1)
@@ -107,7 +107,7 @@
 			qt.Check(t, body, qt.Equals, "w answers "+id)
 		}
 	}
-	qt.Check(t, w.Ran() > 20, qt.IsTrue)
+	qt.Check(t, w.Runs() > 20, qt.IsTrue)
 }
 
 // A caller is served although the engine that was to read its prompt has just
@@ -124,8 +124,8 @@
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, resp.StatusCode, qt.Equals, 200)
 	qt.Check(t, strings.Count(body, "data: part"), qt.Equals, worker.Events)
-	qt.Check(t, answerer.Ran(), qt.Equals, 1)
-	qt.Check(t, len(changed.Seen()), qt.Equals, 1)
+	qt.Check(t, answerer.Runs(), qt.Equals, 1)
+	qt.Check(t, len(changed.Requests()), qt.Equals, 1)
 }
 
 // recovered bounds the time from the start of a process, with a store that
--- a/cmd/gateway/configuration_test.go
+++ b/cmd/gateway/configuration_test.go
@@ -200,7 +200,7 @@
 func TestEndpointsDoNotWaitForALargeConfiguration(t *testing.T) {
 	store := rows.New()
 	store.Put("op", "config", configuration(7, 14009, "other"))
-	qt.Assert(t, store.List("w", rows.Server{Service: "plain", Address: "127.0.0.1:1", Zone: "z", Slots: 8, State: "ready", Seq: 1}), qt.IsNil)
+	qt.Assert(t, store.PutServer("w", rows.Server{Service: "plain", Address: "127.0.0.1:1", Zone: "z", Slots: 8, State: "ready", Seq: 1}), qt.IsNil)
 	server := httptest.NewServer(store)
 	t.Cleanup(server.Close)
 	from, to := newPeer(t, strings.TrimPrefix(server.URL, "http://")), newPeer(t, "127.0.0.1:1")
--- a/cmd/gateway/gateway_test.go
+++ b/cmd/gateway/gateway_test.go
@@ -72,7 +72,7 @@
 }
 
 func (f *fleet) list(w *worker.Worker, service, stage, state string, seq int) {
-	_ = f.store.List(w.ID(), rows.Server{
+	_ = f.store.PutServer(w.ID(), rows.Server{
 		Service: service, Address: w.Address(), Zone: "z", Slots: 8, State: state, Stage: stage, Seq: seq,
 	})
 }
@@ -176,7 +176,7 @@
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, resp.StatusCode, qt.Equals, 200)
 	qt.Check(t, body, qt.Equals, "w-plain answers id-1")
-	seen := plain.Seen()
+	seen := plain.Requests()
 	qt.Assert(t, seen, qt.HasLen, 1)
 	qt.Check(t, seen[0].Target, qt.Equals, "/order/a%2Fb//c?x=1&y")
 	qt.Check(t, seen[0].Host, qt.Equals, "a.example")
@@ -190,9 +190,9 @@
 	qt.Check(t, resp.StatusCode, qt.Equals, 200)
 	qt.Check(t, resp.Header.Get("Carawayspread-Server-Seal"), qt.Equals, "w-answerer.id-2")
 	qt.Check(t, strings.Count(body, "data: part"), qt.Equals, worker.Events)
-	qt.Check(t, reader.Ran(), qt.Equals, 0)
-	qt.Check(t, answerer.Ran(), qt.Equals, 1)
-	qt.Check(t, answerer.Seen()[0].Header.Get("Carawayspread-Kv-Source"), qt.Equals, reader.Address()+"/h-id-2")
+	qt.Check(t, reader.Runs(), qt.Equals, 0)
+	qt.Check(t, answerer.Runs(), qt.Equals, 1)
+	qt.Check(t, answerer.Requests()[0].Header.Get("Carawayspread-Kv-Source"), qt.Equals, reader.Address()+"/h-id-2")
 	until(t, func() bool { return strings.Contains(f.out.String(), "id=id-2 ") })
 }
 
@@ -202,7 +202,7 @@
 func TestNoRoutesYetIsNoRefusalForGood(t *testing.T) {
 	f := newFleet(t)
 	f.list(startWorker(t, "w"), "plain", "", "ready", 1)
-	f.store.Answer(http.StatusServiceUnavailable)
+	f.store.FailWith(http.StatusServiceUnavailable)
 	f.start(t)
 	var resp *http.Response
 	until(t, func() bool {
@@ -213,7 +213,7 @@
 	qt.Check(t, resp.StatusCode, qt.Equals, 503)
 	qt.Check(t, resp.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
 	qt.Check(t, f.daemon.Ready(), qt.IsFalse)
-	f.store.Answer(0)
+	f.store.FailWith(0)
 	f.ready(t)
 	resp, _, err := f.ask("GET", "/lookup/x", "id-2", "")
 	qt.Assert(t, err, qt.IsNil)
@@ -255,14 +255,14 @@
 	time.Sleep(1200 * time.Millisecond) // two reads of the list
 	f.list(leaves, "plain", "", "ready", 7)
 	time.Sleep(1200 * time.Millisecond)
-	before := len(leaves.Seen())
+	before := len(leaves.Requests())
 	for i := range 20 {
 		resp, _, err := f.ask("POST", "/order/x", fmt.Sprint("id-", i), fmt.Sprint("body ", i))
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, resp.StatusCode, qt.Equals, 200)
 	}
-	qt.Check(t, len(leaves.Seen()), qt.Equals, before)
-	qt.Check(t, stays.Ran(), qt.Equals, 20)
+	qt.Check(t, len(leaves.Requests()), qt.Equals, before)
+	qt.Check(t, stays.Runs(), qt.Equals, 20)
 }
 
 // A caller whose request is running when its process is told to end gets the
@@ -389,11 +389,11 @@
 	qt.Check(t, resp.StatusCode, qt.Equals, 200)
 	qt.Check(t, strings.Count(body, "data: part"), qt.Equals, worker.Events)
 	qt.Check(t, time.Since(begun) < 2*time.Second, qt.IsTrue)
-	until(t, func() bool { return reader.Gone() == 1 })
+	until(t, func() bool { return reader.CallerDisconnects() == 1 })
 	for i := range 12 {
 		resp, _, err := f.ask("GET", fmt.Sprint("/lookup/", i), fmt.Sprint("id-", i), "")
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, resp.StatusCode, qt.Equals, 200)
 	}
-	qt.Check(t, holds.Ran() > 1, qt.IsTrue)
+	qt.Check(t, holds.Runs() > 1, qt.IsTrue)
 }
--- a/cmd/gateway/grace_test.go
+++ b/cmd/gateway/grace_test.go
@@ -43,7 +43,7 @@
 		}
 		answered <- answer{status: resp.StatusCode}
 	}()
-	until(t, func() bool { return len(w.Seen()) > 0 })
+	until(t, func() bool { return len(w.Requests()) > 0 })
 	time.Sleep(100 * time.Millisecond)
 	f.stop()
 	got := <-answered
--- a/cmd/gateway/keys_test.go
+++ b/cmd/gateway/keys_test.go
@@ -62,7 +62,7 @@
 	}
 	arrived := 0
 	for _, w := range []*worker.Worker{plain, reader, answerer} {
-		for _, s := range w.Seen() {
+		for _, s := range w.Requests() {
 			arrived++
 			qt.Check(t, s.Header.Values(tenant), qt.DeepEquals, []string{"w1"})
 			qt.Check(t, s.Header.Values(bearer), qt.HasLen, 0)
@@ -96,7 +96,7 @@
 			qt.Check(t, strings.Contains(body, `"code":"unauthenticated"`), qt.IsTrue)
 		})
 	}
-	qt.Check(t, w.Seen(), qt.HasLen, 0)
+	qt.Check(t, w.Requests(), qt.HasLen, 0)
 }
 
 // Guards against a caller that is turned away for good with a key that was added a
@@ -106,7 +106,7 @@
 	f.list(startWorker(t, "w"), "plain", "", "ready", 1)
 	f.start(t)
 	f.ready(t)
-	f.store.Hush(true) // whoever waits for changes hears of none
+	f.store.SuppressChanges(true) // whoever waits for changes hears of none
 	f.keys(t, 3, map[string][]string{"w1": {"k1", "k2"}})
 	qt.Check(t, f.status(t, "id-1", "k2"), qt.Equals, 200)
 	f.keys(t, 4, map[string][]string{"w1": {"k1", "k2", "k3"}})
@@ -128,22 +128,22 @@
 	f.list(w, "plain", "", "ready", 1)
 	f.start(t)
 	f.ready(t)
-	f.store.Answer(503)
+	f.store.FailWith(503)
 	cut := time.Now()
 	for i := 0; time.Since(cut) < revoked/2; i++ {
 		qt.Check(t, f.status(t, fmt.Sprint("early-", i), "k1"), qt.Equals, 200)
 		time.Sleep(50 * time.Millisecond)
 	}
 	time.Sleep(time.Until(cut.Add(revoked)))
-	ran := w.Ran()
+	ran := w.Runs()
 	resp, body, err := f.ask("POST", "/order/x", "late", "", bearer, "Bearer k1")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, resp.StatusCode, qt.Equals, 503)
 	qt.Check(t, strings.Contains(body, `"notRun":true`), qt.IsTrue)
 	qt.Check(t, resp.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
-	qt.Check(t, w.Ran(), qt.Equals, ran)
+	qt.Check(t, w.Runs(), qt.Equals, ran)
 	qt.Check(t, f.daemon.Ready(), qt.IsFalse)
-	f.store.Answer(0)
+	f.store.FailWith(0)
 	f.ready(t)
 	qt.Check(t, f.status(t, "back", "k1"), qt.Equals, 200)
 	f.keys(t, 3, map[string][]string{"w1": {}})
--- a/cmd/gateway/restore_test.go
+++ b/cmd/gateway/restore_test.go
@@ -40,12 +40,12 @@
 	f.list(first, "plain", "", "draining", 2)
 	f.list(second, "plain", "", "ready", 1)
 	time.Sleep(2 * time.Second) // promises.leaving of the settings
-	before := len(first.Seen())
+	before := len(first.Requests())
 	for range 10 {
 		qt.Check(t, ask(), qt.Equals, 200)
 	}
-	qt.Check(t, len(first.Seen())-before, qt.Equals, 0)
-	qt.Check(t, len(second.Seen()) >= 10, qt.IsTrue)
+	qt.Check(t, len(first.Requests())-before, qt.Equals, 0)
+	qt.Check(t, len(second.Requests()) >= 10, qt.IsTrue)
 }
 
 // Rows that were written after the copy was taken are missing until their writers have
--- a/internal/soak/fleet/fleet.go
+++ b/internal/soak/fleet/fleet.go
@@ -208,7 +208,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range f.all {
-		f.history.Ran(p.worker.ID(), p.worker.Seen())
+		f.history.Ran(p.worker.ID(), p.worker.Requests())
 	}
 }
 
--- a/internal/soak/fleet/inject.go
+++ b/internal/soak/fleet/inject.go
@@ -39,8 +39,8 @@
 
 // behaviours are those in which workers do not answer as they should.
 var behaviours = []worker.Behaviour{
-	worker.Refuse, worker.Bare503, worker.Break, worker.Cut, worker.Crossed, worker.Unsealed,
-	worker.Error500, worker.Extra, worker.Hang, worker.Misdirected, worker.LostHandle, worker.SlowEvents,
+	worker.Refuse, worker.Bare503, worker.CloseWithoutAnswer, worker.Truncate, worker.WrongRequestID, worker.Unsealed,
+	worker.Error500, worker.ExtraAnswer, worker.Hang, worker.Misdirected, worker.LostHandle, worker.SlowEvents,
 }
 
 // inject carries out a schedule and returns when its last fault has ended.
@@ -73,7 +73,7 @@
 	case schedule.Reload:
 		return g.program.Signal(syscall.SIGHUP)
 	case schedule.StoreDown:
-		f.hurt(history.Store, step.For, func() { f.store.Answer(http.StatusServiceUnavailable) }, func() { f.store.Answer(0) })
+		f.hurt(history.Store, step.For, func() { f.store.FailWith(http.StatusServiceUnavailable) }, func() { f.store.FailWith(0) })
 	case schedule.StoreSilent:
 		f.hurt(history.Store, step.For, func() { f.storeBy.Set(relay.Silent) }, func() { f.storeBy.Set(relay.None) })
 	case schedule.Narrow:
@@ -83,7 +83,7 @@
 	case schedule.Misbehave:
 		draw, p := rand.New(rand.NewPCG(step.Draw, 0)), f.pick(step.Which)
 		for range 1 + draw.IntN(mostMisbehaved) {
-			p.worker.Then(behaviours[draw.IntN(len(behaviours))])
+			p.worker.AppendScript(behaviours[draw.IntN(len(behaviours))])
 		}
 	case schedule.Drain:
 		return f.leave(step.Which)
--- a/internal/soak/fleet/load.go
+++ b/internal/soak/fleet/load.go
@@ -40,7 +40,7 @@
 	if err := f.ready(); err != nil {
 		return err
 	}
-	f.store.Idle(s.IdleRoutes())
+	f.store.SetUnusedRoutes(s.IdleRoutes())
 	f.routes()
 	f.begun = f.clock.Now()
 	asking, stop := context.WithCancel(ctx)
@@ -57,7 +57,7 @@
 	f.inject(s)
 	<-f.clock.After(mischief)
 	for _, p := range f.workers {
-		p.worker.Recover()
+		p.worker.ClearScript()
 	}
 	<-f.clock.After(calm)
 	stop()
@@ -72,7 +72,7 @@
 	for _, g := range f.gateways {
 		end := f.clock.Now().Add(readyWithin)
 		for {
-			a := caller.New(g.listen).Ask(context.Background(), caller.Safe, "first-"+g.name)
+			a := caller.New(g.listen).Send(context.Background(), caller.Safe, "first-"+g.name)
 			if a.Status == http.StatusOK {
 				break
 			}
@@ -89,7 +89,7 @@
 func (f *Fleet) ask(ctx context.Context, g *gateway, draw *rand.Rand, name string) {
 	c := caller.New(g.listen)
 	for n := 0; ctx.Err() == nil; n++ {
-		a := c.Ask(context.WithoutCancel(ctx), kinds[draw.IntN(len(kinds))], fmt.Sprint(name, "-", n))
+		a := c.Send(context.WithoutCancel(ctx), kinds[draw.IntN(len(kinds))], fmt.Sprint(name, "-", n))
 		f.history.Answered(g.name, a)
 		pause := time.Duration(draw.ExpFloat64() * float64(thinking))
 		if !a.Connected() {
@@ -112,7 +112,7 @@
 		c := caller.New(g.listen)
 		for n := range lastAsked {
 			for _, kind := range kinds {
-				f.history.Recovered(g.name, c.Ask(ctx, kind, fmt.Sprintf("%d-last-%s-%s-%d", seed, g.name, kind, n)))
+				f.history.Recovered(g.name, c.Send(ctx, kind, fmt.Sprintf("%d-last-%s-%s-%d", seed, g.name, kind, n)))
 			}
 		}
 	}
--- a/internal/soak/fleet/platform.go
+++ b/internal/soak/fleet/platform.go
@@ -43,7 +43,7 @@
 // list publishes the entry of a worker.
 func (f *Fleet) list(p *listed, state string) error {
 	f.seq++
-	return f.store.List(p.worker.ID(), rows.Server{
+	return f.store.PutServer(p.worker.ID(), rows.Server{
 		Service: p.service, Address: p.by.Address(), Zone: "z", Slots: 8, State: state, Stage: p.role, Seq: f.seq,
 	})
 }
@@ -74,7 +74,7 @@
 // says so.
 func (f *Fleet) leaveUnlisted(which int, d time.Duration) error {
 	p := f.pick(which)
-	p.worker.Say("Server-Leaving", "1")
+	p.worker.SetHeader("Server-Leaving", "1")
 	<-f.clock.After(d)
 	f.mu.Lock()
 	i := slices.Index(f.workers, p)
@@ -93,10 +93,10 @@
 	}
 	defer p.limited.Store(false)
 	from := f.clock.Now()
-	p.worker.Say("Server-Limit", strconv.FormatFloat(rate, 'g', -1, 64))
+	p.worker.SetHeader("Server-Limit", strconv.FormatFloat(rate, 'g', -1, 64))
 	<-f.clock.After(d)
 	f.history.Limited(p.worker.ID(), rate, from, f.clock.Now())
-	p.worker.Say("Server-Limit", "")
+	p.worker.SetHeader("Server-Limit", "")
 }
 
 const (
@@ -112,10 +112,10 @@
 	from := f.clock.Now()
 	older := f.store.Copy()
 	<-f.clock.After(lost)
-	f.store.Answer(http.StatusServiceUnavailable)
+	f.store.FailWith(http.StatusServiceUnavailable)
 	<-f.clock.After(away)
 	f.store.Restore(older)
-	f.store.Answer(0)
+	f.store.FailWith(0)
 	<-f.clock.After(rewritten)
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/soak/history/feedback.go
+++ b/internal/soak/history/feedback.go
@@ -29,8 +29,8 @@
 			continue
 		}
 		w := way{a.process, worker}
-		if at, ok := told[w]; !ok || a.Ended.Before(at) {
-			told[w] = a.Ended
+		if at, ok := told[w]; !ok || a.EndedAt.Before(at) {
+			told[w] = a.EndedAt
 		}
 	}
 	return told
@@ -48,11 +48,11 @@
 // toldLeaving: a process sends nothing to a worker once it has passed on an answer of it
 // that says that it leaves, whatever the store says.
 func (h *History) toldLeaving() []string {
-	told, asked := h.told(func(a answer) bool { return a.Leaving }), h.byID()
+	told, asked := h.told(func(a answer) bool { return a.ServerLeaving }), h.byID()
 	for _, r := range h.runs {
 		a, ok := asked[r.ID]
 		at, knows := told[way{a.process, r.worker}]
-		if !ok || !knows || !a.Asked.After(at.Add(h.terms.Leaving)) || h.overlaps(Hurt(a.process), at, r.At) {
+		if !ok || !knows || !a.SentAt.After(at.Add(h.terms.Leaving)) || h.overlaps(Hurt(a.process), at, r.At) {
 			continue
 		}
 		return say("%s was sent to %s by %s %v after an answer had told it that the worker leaves", r.ID, r.worker, a.process, r.At.Sub(at))
@@ -63,7 +63,7 @@
 // rates: a worker gets no more than the rate that it names from the processes that have
 // passed it on.
 func (h *History) rates() []string {
-	told, asked := h.told(func(a answer) bool { return a.Limited }), h.byID()
+	told, asked := h.told(func(a answer) bool { return a.HasServerLimit }), h.byID()
 	for _, l := range h.limited {
 		var arrived []time.Time
 		for _, r := range h.runs {
--- a/internal/soak/history/history.go
+++ b/internal/soak/history/history.go
@@ -58,7 +58,7 @@
 }
 
 type run struct {
-	worker.Seen
+	worker.Request
 	worker string
 }
 
@@ -98,7 +98,7 @@
 }
 
 // Ran adds what a worker saw.
-func (h *History) Ran(id string, seen []worker.Seen) {
+func (h *History) Ran(id string, seen []worker.Request) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, s := range seen {
@@ -226,7 +226,7 @@
 // inTime: the final answer is there by the time limit, where the process ran all the while.
 func (h *History) inTime(a answer) []string {
 	limit := h.terms.Timeouts[a.Kind] + h.terms.Late
-	if took := a.Ended.Sub(a.Asked); took > limit && !h.overlaps(Hurt(a.process), a.Asked, a.Ended) {
+	if took := a.EndedAt.Sub(a.SentAt); took > limit && !h.overlaps(Hurt(a.process), a.SentAt, a.EndedAt) {
 		return say("%s had its final answer (%d) after %v, of %v", a.ID, a.Status, took, limit)
 	}
 	return nil
@@ -235,7 +235,7 @@
 // kept: no caller is left without an answer by a process that ran all the while.
 func (h *History) kept(a answer) []string {
 	excused := slices.ContainsFunc(h.hurt[Hurt(a.process)], func(w window) bool {
-		return w.overlaps(a.Asked, a.Ended) && !(w.ordered && a.Asked.Before(w.from))
+		return w.overlaps(a.SentAt, a.EndedAt) && !(w.ordered && a.SentAt.Before(w.from))
 	})
 	if a.Status != 0 || !a.Connected() || excused {
 		return nil
@@ -270,7 +270,7 @@
 	attempts := map[string]int{}
 	end := h.begun
 	for _, r := range h.runs {
-		if !r.Reads {
+		if !r.PrefillOnly {
 			attempts[r.ID]++
 		}
 		if r.At.After(end) {
--- a/internal/soak/history/history_test.go
+++ b/internal/soak/history/history_test.go
@@ -20,20 +20,20 @@
 	begun := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	at := func(d time.Duration) time.Time { return begun.Add(d) }
 	served := func(kind caller.Kind, body string) caller.Answer {
-		return caller.Answer{ID: "id", Kind: kind, Asked: at(0), Ended: at(time.Second), Status: 200, Seal: "w.id", Body: body}
+		return caller.Answer{ID: "id", Kind: kind, SentAt: at(0), EndedAt: at(time.Second), Status: 200, Seal: "w.id", Body: body}
 	}
-	refused := caller.Answer{ID: "id", Kind: caller.Unsafe, Asked: at(0), Ended: at(time.Second), Status: 503, ComeBack: true}
-	cut := caller.Answer{ID: "id", Kind: caller.Unsafe, Asked: at(0), Ended: at(time.Second), Err: errors.New("EOF")}
+	refused := caller.Answer{ID: "id", Kind: caller.Unsafe, SentAt: at(0), EndedAt: at(time.Second), Status: 503, HasRetryAfter: true}
+	cut := caller.Answer{ID: "id", Kind: caller.Unsafe, SentAt: at(0), EndedAt: at(time.Second), Err: errors.New("EOF")}
 	unconnected := cut
 	unconnected.Err = &net.OpError{Op: "dial", Err: errors.New("refused")}
 	broken := served(caller.Unsafe, "w answ")
 	broken.Err = errors.New("unexpected EOF")
 	tardy := served(caller.Unsafe, "w answers id")
-	tardy.Ended = at(4 * time.Second)
-	ran := func(d time.Duration, ids ...string) []worker.Seen {
-		var all []worker.Seen
+	tardy.EndedAt = at(4 * time.Second)
+	ran := func(d time.Duration, ids ...string) []worker.Request {
+		var all []worker.Request
 		for _, id := range ids {
-			all = append(all, worker.Seen{ID: id, Target: "/order/x", Header: http.Header{}, Ran: true, At: at(d)})
+			all = append(all, worker.Request{ID: id, Target: "/order/x", Header: http.Header{}, Ran: true, At: at(d)})
 		}
 		return all
 	}
@@ -46,14 +46,14 @@
 	later := func(h *History, from time.Time, n int, apart time.Duration) {
 		for i := range n {
 			id, asked := fmt.Sprint("later-", i), from.Add(time.Duration(i)*apart)
-			a := caller.Answer{ID: id, Kind: caller.Unsafe, Asked: asked, Ended: asked.Add(time.Second), Status: 200, Seal: "w." + id, Body: "w answers " + id}
+			a := caller.Answer{ID: id, Kind: caller.Unsafe, SentAt: asked, EndedAt: asked.Add(time.Second), Status: 200, Seal: "w." + id, Body: "w answers " + id}
 			h.Answered("g", a)
-			h.Ran("w", []worker.Seen{{ID: id, Target: "/order/x", Header: http.Header{}, Ran: true, At: asked}})
+			h.Ran("w", []worker.Request{{ID: id, Target: "/order/x", Header: http.Header{}, Ran: true, At: asked}})
 		}
 	}
 	for name, c := range map[string]struct {
 		answer caller.Answer
-		runs   []worker.Seen
+		runs   []worker.Request
 		with   func(*History)
 		want   string
 	}{
@@ -75,28 +75,28 @@
 		"cut as its process ended in order": {cut, nil, func(h *History) { h.Ended("g", at(time.Second-time.Millisecond), at(2*time.Second)) }, "without an answer by g"},
 		"asked when it had ended":           {cut, nil, func(h *History) { h.Ended("g", at(-time.Millisecond), at(2*time.Second)) }, ""},
 		"nobody at the port":                {unconnected, nil, nil, ""},
-		"sent by the one that was told that it leaves": {said(func(a *caller.Answer) { a.Leaving = true }), ran(0, "id"), func(h *History) {
+		"sent by the one that was told that it leaves": {said(func(a *caller.Answer) { a.ServerLeaving = true }), ran(0, "id"), func(h *History) {
 			later(h, at(5*time.Second), 1, 0)
 		}, "4s after an answer had told it"},
-		"sent just after it was told": {said(func(a *caller.Answer) { a.Leaving = true }), ran(0, "id"), func(h *History) {
+		"sent just after it was told": {said(func(a *caller.Answer) { a.ServerLeaving = true }), ran(0, "id"), func(h *History) {
 			later(h, at(2*time.Second), 1, 0)
 		}, ""},
-		"sent by one that has started again since": {said(func(a *caller.Answer) { a.Leaving = true }), ran(0, "id"), func(h *History) {
+		"sent by one that has started again since": {said(func(a *caller.Answer) { a.ServerLeaving = true }), ran(0, "id"), func(h *History) {
 			later(h, at(5*time.Second), 1, 0)
 			h.Hurt("g", at(2*time.Second), at(3*time.Second))
 		}, ""},
 		"sent by one that was told nothing": {served(caller.Unsafe, "w answers id"), ran(0, "id"), func(h *History) {
 			later(h, at(5*time.Second), 1, 0)
 		}, ""},
-		"more than the rate": {said(func(a *caller.Answer) { a.Limited = true }), ran(0, "id"), func(h *History) {
+		"more than the rate": {said(func(a *caller.Answer) { a.HasServerLimit = true }), ran(0, "id"), func(h *History) {
 			later(h, at(5*time.Second), 18, 200*time.Millisecond)
 			h.Limited("w", 2, at(0), at(10*time.Second))
 		}, "got 18 requests in 4s, of 17"},
-		"the rate": {said(func(a *caller.Answer) { a.Limited = true }), ran(0, "id"), func(h *History) {
+		"the rate": {said(func(a *caller.Answer) { a.HasServerLimit = true }), ran(0, "id"), func(h *History) {
 			later(h, at(5*time.Second), 17, 200*time.Millisecond)
 			h.Limited("w", 2, at(0), at(10*time.Second))
 		}, ""},
-		"more while it is learnt": {said(func(a *caller.Answer) { a.Limited = true }), ran(0, "id"), func(h *History) {
+		"more while it is learnt": {said(func(a *caller.Answer) { a.HasServerLimit = true }), ran(0, "id"), func(h *History) {
 			later(h, at(2*time.Second), 18, 50*time.Millisecond)
 			h.Limited("w", 2, at(0), at(10*time.Second))
 		}, ""},
@@ -124,7 +124,7 @@
 		}, "5s after it had said"},
 		"too many attempts": {served(caller.Safe, "w answers id"), ran(0, "id", "id", "id", "id", "id"), nil, "4 attempts beyond the first"},
 		"not served at the end": {served(caller.Unsafe, "w answers id"), ran(0, "id"), func(h *History) {
-			h.Recovered("g", caller.Answer{ID: "last", Kind: caller.Safe, Asked: at(0), Ended: at(0), Status: 503})
+			h.Recovered("g", caller.Answer{ID: "last", Kind: caller.Safe, SentAt: at(0), EndedAt: at(0), Status: 503})
 		}, "last was not served by g"},
 		"too much memory": {served(caller.Unsafe, "w answers id"), ran(0, "id"), func(h *History) { h.Occupied("g", 101) }, "101 MB of 100"},
 		"enough memory":   {served(caller.Unsafe, "w answers id"), ran(0, "id"), func(h *History) { h.Occupied("g", 100) }, ""},
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -32,16 +32,16 @@
 
 // Answer is what a caller got.
 type Answer struct {
-	ID           string
-	Kind         Kind
-	Asked, Ended time.Time
-	Status       int // zero where no answer began
-	Seal         string
-	ComeBack     bool // it is told when
-	Leaving      bool // the worker says that it leaves
-	Limited      bool // the worker names the rate that it takes
-	Body         string
-	Err          error // why no answer began, or why it broke off
+	ID              string
+	Kind            Kind
+	SentAt, EndedAt time.Time
+	Status          int // zero where no answer began
+	Seal            string
+	HasRetryAfter   bool // it is told when
+	ServerLeaving   bool // the worker says that it leaves
+	HasServerLimit  bool // the worker names the rate that it takes
+	Body            string
+	Err             error // why no answer began, or why it broke off
 }
 
 // Connected reports whether anything of the request can have been sent.
@@ -64,11 +64,11 @@
 	}}
 }
 
-// Ask sends one request and waits for its answer.
-func (c *Caller) Ask(ctx context.Context, kind Kind, id string) Answer {
-	a := Answer{ID: id, Kind: kind, Asked: time.Now()}
+// Send sends one request and waits for its answer.
+func (c *Caller) Send(ctx context.Context, kind Kind, id string) Answer {
+	a := Answer{ID: id, Kind: kind, SentAt: time.Now()}
 	a.Err = c.ask(ctx, &a)
-	a.Ended = time.Now()
+	a.EndedAt = time.Now()
 	return a
 }
 
@@ -92,8 +92,8 @@
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	a.Status, a.Seal, a.ComeBack = resp.StatusCode, resp.Header.Get("Carawayspread-Server-Seal"), resp.Header.Get("Retry-After") != ""
-	a.Leaving, a.Limited = resp.Header.Get("Server-Leaving") != "", resp.Header.Get("Server-Limit") != ""
+	a.Status, a.Seal, a.HasRetryAfter = resp.StatusCode, resp.Header.Get("Carawayspread-Server-Seal"), resp.Header.Get("Retry-After") != ""
+	a.ServerLeaving, a.HasServerLimit = resp.Header.Get("Server-Leaving") != "", resp.Header.Get("Server-Limit") != ""
 	text, err := io.ReadAll(resp.Body)
 	a.Body = string(text)
 	return err
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -69,9 +69,9 @@
 // RoleChange sets how long a role change takes the engine away.
 func RoleChange(d time.Duration) Option { return func(e *Engine) { e.roleChange = d } }
 
-// ChangeEnds has a role change last until the channel is closed, however slowly the
+// RoleChangeUntil has a role change last until the channel is closed, however slowly the
 // test looks at it.
-func ChangeEnds(ends <-chan struct{}) Option { return func(e *Engine) { e.changeEnds = ends } }
+func RoleChangeUntil(ends <-chan struct{}) Option { return func(e *Engine) { e.changeEnds = ends } }
 
 // Restart sets how long a crash lasts.
 func Restart(d time.Duration) Option { return func(e *Engine) { e.restart = d } }
--- a/internal/standin/rows/published.go
+++ b/internal/standin/rows/published.go
@@ -19,8 +19,8 @@
 	s.Put("op", "config", fmt.Appendf(nil, routesRow, version, streams, s.idleRoutes(), ""))
 }
 
-// Idle sets how many routes that nobody uses the next versions hold beside the others.
-func (s *Store) Idle(routes int) {
+// SetUnusedRoutes sets how many routes that nobody uses the next versions hold beside the others.
+func (s *Store) SetUnusedRoutes(routes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.idle = routes
@@ -67,8 +67,8 @@
 	Seq     int    `json:"seq"`   // grows with each entry of a worker
 }
 
-// List writes the entry of a worker.
-func (s *Store) List(id string, entry Server) error {
+// PutServer writes the entry of a worker.
+func (s *Store) PutServer(id string, entry Server) error {
 	row, err := json.Marshal(entry)
 	if err != nil {
 		return err
--- a/internal/standin/rows/restore.go
+++ b/internal/standin/rows/restore.go
@@ -32,8 +32,8 @@
 	s.changed = make(chan struct{})
 }
 
-// ShowEra has the answers show that era; none for zero.
-func (s *Store) ShowEra(era int) {
+// SetEra has the answers show that era; none for zero.
+func (s *Store) SetEra(era int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.era = era
--- a/internal/standin/rows/store.go
+++ b/internal/standin/rows/store.go
@@ -97,8 +97,8 @@
 	s.changed = make(chan struct{})
 }
 
-// Answer makes every call end with that status; zero serves again.
-func (s *Store) Answer(status int) {
+// FailWith makes every call end with that status; zero serves again.
+func (s *Store) FailWith(status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode = status
@@ -106,8 +106,8 @@
 	s.changed = make(chan struct{})
 }
 
-// Hush keeps calls that wait for changes from hearing of any until their wait ends.
-func (s *Store) Hush(on bool) {
+// SuppressChanges keeps calls that wait for changes from hearing of any until their wait ends.
+func (s *Store) SuppressChanges(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hushed = on
--- a/internal/standin/worker/orders.go
+++ b/internal/standin/worker/orders.go
@@ -21,7 +21,7 @@
 }
 
 // control answers a report or an order, and reports whether the connection stays.
-func (w *Worker) control(conn net.Conn, s Seen) bool {
+func (w *Worker) control(conn net.Conn, s Request) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if s.Method == "GET" {
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -18,32 +18,32 @@
 
 // Behaviours. The zero value answers.
 const (
-	Answer      Behaviour = iota
-	Refuse                // says that it has not run the request
-	Bare503               // a 503 that does not say so
-	Break                 // runs it and closes the connection
-	Cut                   // breaks off in the middle of an event or a body
-	Crossed               // answers with the identifier of another request
-	Unsealed              // a success that bears no signature
-	Error500              // its own failure, signed
-	Unframed              // an answer that ends with its connection
-	Extra                 // a second answer after the first
-	Hang                  // says nothing until the connection closes
-	Misdirected           // says that another worker has the address
-	Encoded               // a body in an encoding that nobody asked for
-	LostHandle            // a KV cache that cannot be had: not run
-	SlowEvents            // as Answer, a while between the events
+	Answer             Behaviour = iota
+	Refuse                       // says that it has not run the request
+	Bare503                      // a 503 that does not say so
+	CloseWithoutAnswer           // runs it and closes the connection
+	Truncate                     // breaks off in the middle of an event or a body
+	WrongRequestID               // answers with the identifier of another request
+	Unsealed                     // a success that bears no signature
+	Error500                     // its own failure, signed
+	Unframed                     // an answer that ends with its connection
+	ExtraAnswer                  // a second answer after the first
+	Hang                         // says nothing until the connection closes
+	Misdirected                  // says that another worker has the address
+	Encoded                      // a body in an encoding that nobody asked for
+	LostHandle                   // a KV cache that cannot be had: not run
+	SlowEvents                   // as Answer, a while between the events
 )
 
 // Events is the number of events of a stream.
 const Events = 4
 
-// Seen is one request as it arrived.
-type Seen struct {
+// Request is one request as it arrived.
+type Request struct {
 	ID, Method, Target, Host, Body string
 	Header                         http.Header
 	Ran                            bool
-	Reads                          bool // it is a prompt to be read, and another answers
+	PrefillOnly                    bool // it is a prompt to be read, and another answers
 	At                             time.Time
 }
 
@@ -54,7 +54,7 @@
 
 	mu     sync.Mutex
 	script []Behaviour
-	seen   []Seen
+	seen   []Request
 	gone   int // connections that their caller closed while a request ran
 	role   string
 	fence  uint64 // the highest seen
@@ -82,17 +82,17 @@
 // ID returns the identifier.
 func (w *Worker) ID() string { return w.id }
 
-// Seen returns the requests that arrived.
-func (w *Worker) Seen() []Seen {
+// Requests returns the requests that arrived.
+func (w *Worker) Requests() []Request {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]Seen(nil), w.seen...)
+	return append([]Request(nil), w.seen...)
 }
 
-// Ran returns how often it ran a request.
-func (w *Worker) Ran() int {
+// Runs returns how often it ran a request.
+func (w *Worker) Runs() int {
 	n := 0
-	for _, s := range w.Seen() {
+	for _, s := range w.Requests() {
 		if s.Ran {
 			n++
 		}
@@ -100,29 +100,29 @@
 	return n
 }
 
-// Then adds to what the script says.
-func (w *Worker) Then(script ...Behaviour) {
+// AppendScript adds to what the script says.
+func (w *Worker) AppendScript(script ...Behaviour) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.script = append(w.script, script...)
 }
 
-// Say has all answers from now on bear a header, or none where the value is empty.
-func (w *Worker) Say(name, value string) {
+// SetHeader has all answers from now on bear a header, or none where the value is empty.
+func (w *Worker) SetHeader(name, value string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.says[name] = value
 }
 
-// Recover drops what is left of the script.
-func (w *Worker) Recover() {
+// ClearScript drops what is left of the script.
+func (w *Worker) ClearScript() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.script = nil
 }
 
-// Gone returns how many callers left while their request ran.
-func (w *Worker) Gone() int {
+// CallerDisconnects returns how many callers left while their request ran.
+func (w *Worker) CallerDisconnects() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.gone
@@ -171,7 +171,7 @@
 	}
 }
 
-func (w *Worker) next(s Seen) Behaviour {
+func (w *Worker) next(s Request) Behaviour {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	does := Answer
@@ -192,9 +192,9 @@
 
 // answer writes what the script says and reports whether the connection stays.
 func (w *Worker) answer(conn net.Conn, r *bufio.Reader, req *http.Request, body string) bool {
-	s := Seen{
+	s := Request{
 		ID: req.Header.Get("Carawayspread-Request-Id"), Method: req.Method, Target: req.RequestURI, Host: req.Host,
-		Body: body, Header: req.Header, Reads: req.Header.Get("Carawayspread-Stage") != "", At: time.Now(),
+		Body: body, Header: req.Header, PrefillOnly: req.Header.Get("Carawayspread-Stage") != "", At: time.Now(),
 	}
 	if expected := s.Header.Get("Carawayspread-Expect-Instance"); expected != "" && expected != w.id {
 		w.mu.Lock()
@@ -219,9 +219,9 @@
 		w.write(conn, "503 Service Unavailable", text, id, seal)
 	case Error500:
 		w.write(conn, "500 Internal Server Error", text, id, seal)
-	case Break:
+	case CloseWithoutAnswer:
 		return false
-	case Crossed:
+	case WrongRequestID:
 		w.write(conn, "200 OK", "another", "Carawayspread-Request-Id: other", seal)
 	case Unsealed:
 		w.write(conn, "200 OK", text, id)
@@ -255,25 +255,25 @@
 	return lines.String()
 }
 
-func (w *Worker) succeed(conn net.Conn, s Seen, does Behaviour, text, id, seal string) bool {
+func (w *Worker) succeed(conn net.Conn, s Request, does Behaviour, text, id, seal string) bool {
 	switch {
 	case s.Header.Get("Carawayspread-Stage") != "":
 		w.write(conn, "200 OK", `{"kv_handle":"h-`+s.ID+`","tokens":10,"version":1}`, id)
 	case strings.Contains(s.Target, "/stream/"):
 		return w.stream(conn, s, does, id, seal)
-	case does == Cut:
+	case does == Truncate:
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+id+"\r\n"+seal+"\r\nContent-Length: 100\r\n\r\n"+text)
 		return false
 	default:
 		w.write(conn, "200 OK", text, id, seal)
 	}
-	if does == Extra {
+	if does == ExtraAnswer {
 		w.write(conn, "200 OK", "late "+text, id, seal)
 	}
 	return true
 }
 
-func (w *Worker) stream(conn net.Conn, s Seen, does Behaviour, id, seal string) bool {
+func (w *Worker) stream(conn net.Conn, s Request, does Behaviour, id, seal string) bool {
 	_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+id+"\r\n"+seal+"\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
 	first := 1
 	if last := s.Header.Get("Last-Event-Id"); last != "" {
@@ -282,14 +282,14 @@
 	}
 	for n := first; n <= Events; n++ {
 		event := fmt.Sprintf("id: %d\ndata: part %d of %s\n\n", n, n, s.ID)
-		if does == Cut && n == first+1 {
+		if does == Truncate && n == first+1 {
 			event = event[:len(event)/2]
 		}
 		if does == SlowEvents {
 			time.Sleep(50 * time.Millisecond)
 		}
 		_, _ = fmt.Fprintf(conn, "%x\r\n%s\r\n", len(event), event)
-		if does == Cut && n == first+1 {
+		if does == Truncate && n == first+1 {
 			return false
 		}
 	}
