--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller is a stand-in of the users' callers: it asks a gateway on
-// connections that it keeps, and never sends a request twice by itself.
+// Package caller is a stand-in for the callers of a gateway. It reuses connections and never retries
+// a request by itself.
 package caller
 
 import (
@@ -15,7 +15,7 @@
 // Kind is a kind of route.
 type Kind string
 
-// Kinds. Each is also how the paths of its requests begin.
+// Kinds. The value is also the first segment of the path of its requests.
 const (
 	Safe   Kind = "lookup"
 	Unsafe Kind = "order"
@@ -23,56 +23,57 @@
 )
 
 const (
-	// patience exceeds what every route allows: the gateway has to answer before.
-	patience = 10 * time.Second
-	dialTime = time.Second // as callers of the platform wait for a connection
-	// promptTokens are those of each stream's prompt and the most of its answer.
-	promptTokens = "900,20"
+	// requestTimeout exceeds the timeouts of all routes, so that the gateway's own timeout comes first.
+	requestTimeout = 10 * time.Second
+	dialTimeout    = time.Second // the connect timeout of the platform's callers
+	// tokenCount has the number of prompt tokens and the maximum number of output tokens of a stream
+	// request.
+	tokenCount = "900,20"
 )
 
-// Answer is what a caller got.
+// Answer is the result of one request.
 type Answer struct {
 	ID              string
 	Kind            Kind
 	SentAt, EndedAt time.Time
-	Status          int // zero where no answer began
+	Status          int // zero without a response
 	Seal            string
-	HasRetryAfter   bool // it is told when
-	ServerLeaving   bool // the worker says that it leaves
-	HasServerLimit  bool // the worker names the rate that it takes
+	HasRetryAfter   bool // the response has Retry-After
+	ServerLeaving   bool // the worker announces that it is leaving
+	HasServerLimit  bool // the worker reports its rate limit
 	Body            string
-	Err             error // why no answer began, or why it broke off
+	Err             error // why there is no response, or why its body is incomplete
 }
 
-// Connected reports whether anything of the request can have been sent.
+// Connected reports whether any part of the request may have been sent.
 func (a Answer) Connected() bool {
 	var op *net.OpError
 	return !errors.As(a.Err, &op) || op.Op != "dial"
 }
 
-// Caller asks one gateway.
+// Caller sends requests to one gateway.
 type Caller struct {
 	address string
 	client  *http.Client
 }
 
-// New returns a caller of the gateway at IP number and port.
+// New returns a caller of the gateway at address, an IP address and port.
 func New(address string) *Caller {
-	dialer := &net.Dialer{Timeout: dialTime}
+	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Caller{address: address, client: &http.Client{
-		Transport: &http.Transport{DialContext: dialer.DialContext, DisableCompression: true}, Timeout: patience,
+		Transport: &http.Transport{DialContext: dialer.DialContext, DisableCompression: true}, Timeout: requestTimeout,
 	}}
 }
 
-// Send sends one request and waits for its answer.
+// Send sends one request and waits for the complete answer.
 func (c *Caller) Send(ctx context.Context, kind Kind, id string) Answer {
 	a := Answer{ID: id, Kind: kind, SentAt: time.Now()}
-	a.Err = c.ask(ctx, &a)
+	a.Err = c.send(ctx, &a)
 	a.EndedAt = time.Now()
 	return a
 }
 
-func (c *Caller) ask(ctx context.Context, a *Answer) error {
+func (c *Caller) send(ctx context.Context, a *Answer) error {
 	method, body := http.MethodPost, io.Reader(strings.NewReader(a.ID))
 	if a.Kind == Safe {
 		method, body = http.MethodGet, nil
@@ -81,11 +82,11 @@
 	if err != nil {
 		return err
 	}
-	req.GetBody = nil // net/http sends again what it can rewind
+	req.GetBody = nil // net/http retries a request whose body it can rewind
 	req.Host = "a.example"
 	req.Header.Set("Carawayspread-Request-Id", a.ID)
 	if a.Kind == Stream {
-		req.Header.Set("Carawayspread-Token-Count", promptTokens)
+		req.Header.Set("Carawayspread-Token-Count", tokenCount)
 	}
 	resp, err := c.client.Do(req)
 	if err != nil {
--- a/internal/standin/engine/complete.go
+++ b/internal/standin/engine/complete.go
@@ -12,8 +12,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Headers of the resume protocol: the caller states how many events it holds
-// and the hash of their data, the engine confirms that it continues from there.
+// Headers of the resume protocol: the caller sends the number of events that it has received and
+// the hash of their data, and the engine confirms that it continues from there.
 const (
 	headerOffset  = "Resume-Offset"
 	headerDigest  = "Resume-Digest"
@@ -23,19 +23,19 @@
 const defaultTokens = 16
 
 type completionRequest struct {
-	Model     string          `json:"model"`
-	Prompt    json.RawMessage `json:"prompt"`
-	Messages  json.RawMessage `json:"messages"`
-	Stream    bool            `json:"stream"`
-	MaxTokens int             `json:"max_tokens"`
-	MaxNew    int             `json:"max_completion_tokens"`
+	Model               string          `json:"model"`
+	Prompt              json.RawMessage `json:"prompt"`
+	Messages            json.RawMessage `json:"messages"`
+	Stream              bool            `json:"stream"`
+	MaxTokens           int             `json:"max_tokens"`
+	MaxCompletionTokens int             `json:"max_completion_tokens"`
 }
 
 func (c completionRequest) text() string { return string(c.Prompt) + string(c.Messages) }
 
 func (c completionRequest) tokens() int {
-	if c.MaxNew > 0 {
-		return c.MaxNew
+	if c.MaxCompletionTokens > 0 {
+		return c.MaxCompletionTokens
 	}
 	if c.MaxTokens > 0 {
 		return c.MaxTokens
@@ -56,10 +56,10 @@
 		e.Crash()
 		panic(http.ErrAbortHandler)
 	}
-	if !e.enter(ctx) {
+	if !e.acquireSlot(ctx) {
 		panic(http.ErrAbortHandler)
 	}
-	defer e.leave()
+	defer e.releaseSlot()
 	e.prefill(ctx, len(req.text())/4)
 	w.Header().Set("X-Request-Id", id)
 	a := answer{id: "cmpl-" + id, chat: strings.HasPrefix(r.URL.Path, "/v1/chat/"), req: req}
@@ -67,16 +67,16 @@
 		e.stream(ctx, w, r, a)
 		return
 	}
-	e.whole(ctx, w, a)
+	e.respond(ctx, w, a)
 }
 
-// start registers the request; the context ends with the request, with a
-// cancel order or with a crash.
+// start registers the request. The returned context is cancelled at the end of the request, by a
+// cancel call or by a crash; the returned function ends the request.
 func (e *Engine) start(ctx context.Context, id string) (context.Context, func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	ctx, cancel := context.WithCancel(ctx)
-	unhook := context.AfterFunc(e.alive, cancel)
+	unhook := context.AfterFunc(e.bootContext, cancel)
 	e.runs[id]++
 	e.cancels[id] = cancel
 	return ctx, func() {
@@ -88,7 +88,7 @@
 	}
 }
 
-func (e *Engine) enter(ctx context.Context) bool {
+func (e *Engine) acquireSlot(ctx context.Context) bool {
 	e.waiting.Add(1)
 	defer e.waiting.Add(-1)
 	select {
@@ -99,16 +99,16 @@
 	}
 }
 
-func (e *Engine) leave() { <-e.slots }
+func (e *Engine) releaseSlot() { <-e.slots }
 
 func (e *Engine) prefill(ctx context.Context, tokens int) {
 	if e.prefillRate == 0 {
 		return
 	}
-	pause(ctx, time.Duration(tokens)*time.Second/time.Duration(e.prefillRate))
+	sleep(ctx, time.Duration(tokens)*time.Second/time.Duration(e.prefillRate))
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -120,8 +120,8 @@
 	}
 }
 
-func (e *Engine) whole(ctx context.Context, w http.ResponseWriter, a answer) {
-	pause(ctx, time.Duration(a.req.tokens())*e.tokenEvery)
+func (e *Engine) respond(ctx context.Context, w http.ResponseWriter, a answer) {
+	sleep(ctx, time.Duration(a.req.tokens())*e.tokenEvery)
 	if ctx.Err() != nil {
 		panic(http.ErrAbortHandler)
 	}
@@ -146,7 +146,7 @@
 	for i := offset; i < a.req.tokens(); i++ {
 		_, _ = fmt.Fprintf(w, "data: %s\n\n", a.event(i))
 		_ = flusher.Flush()
-		pause(ctx, e.tokenEvery)
+		sleep(ctx, e.tokenEvery)
 		if ctx.Err() != nil {
 			panic(http.ErrAbortHandler)
 		}
@@ -155,7 +155,7 @@
 	e.served.Add(1)
 }
 
-// answer is a pure function of the request.
+// answer generates the output for a request. It is a pure function of the request.
 type answer struct {
 	id   string
 	chat bool
@@ -166,8 +166,8 @@
 	return fmt.Sprintf("t%04d ", xxhash.Sum64String(a.req.text()+strconv.Itoa(i))%10000)
 }
 
-// resume returns the event to continue from, and whether the caller holds the
-// same beginning.
+// resume returns the index of the event to continue from, and whether the events that the caller
+// has received are a prefix of this answer.
 func (a answer) resume(r *http.Request) (int, bool) {
 	offset, _ := strconv.Atoi(r.Header.Get(headerOffset))
 	if offset <= 0 {
@@ -248,7 +248,7 @@
 	c.Model = a.req.Model
 	body, err := json.Marshal(c)
 	if err != nil {
-		panic(err) // the type has no value that fails
+		panic(err) // no value of this type fails to marshal
 	}
 	return body
 }
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -10,11 +10,11 @@
 	"carawayspread"
 )
 
-// eventGap is the position of every event that is lost: cache events are
-// published with gaps.
-const eventGap = 7
+// lostEventInterval is the interval, in events, at which a cache event is lost: engines publish cache
+// events with gaps.
+const lostEventInterval = 7
 
-// kvBytesPerRequest is what a running request holds in the KV cache.
+// kvBytesPerRequest is the KV cache size of a running request, in bytes.
 const kvBytesPerRequest = 1 << 20
 
 type cacheEvent struct {
@@ -56,7 +56,7 @@
 	return state
 }
 
-func (e *Engine) takeOrder(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var order carawayspread.Order
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil || order.ID == "" {
 		writeJSON(w, http.StatusBadRequest, map[string]string{"code": "malformed"})
@@ -67,20 +67,20 @@
 		return
 	}
 	if order.Kind == carawayspread.OrderSetRole {
-		pause(e.life(), e.roleChange)
-		if e.changeEnds != nil {
+		sleep(e.currentBoot(), e.roleChange)
+		if e.roleChangeEnds != nil {
 			select {
-			case <-e.changeEnds:
-			case <-e.life().Done():
+			case <-e.roleChangeEnds:
+			case <-e.currentBoot().Done():
 			}
 		}
-		e.finishChange()
+		e.finishRoleChange()
 	}
 	writeJSON(w, http.StatusOK, e.snapshot())
 }
 
-// accept carries out the order, once for each id, unless its fence is outdated
-// and the engine checks fences.
+// accept executes the order, once for each id, and reports whether it was accepted. An engine that
+// checks fencing tokens refuses an order with an outdated one.
 func (e *Engine) accept(order carawayspread.Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -90,10 +90,10 @@
 	if e.checksFence {
 		e.state.Fence = order.Fence
 	}
-	if e.done[order.ID] {
+	if e.executed[order.ID] {
 		return true
 	}
-	e.done[order.ID] = true
+	e.executed[order.ID] = true
 	e.orders = append(e.orders, order)
 	e.state.LastID = order.ID
 	e.apply(order)
@@ -125,7 +125,7 @@
 	return append(slices.Clone(list), value)
 }
 
-func (e *Engine) finishChange() {
+func (e *Engine) finishRoleChange() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.state.Changing = false
@@ -147,7 +147,7 @@
 	defer e.mu.Unlock()
 	seen := []cacheEvent{}
 	for _, event := range e.events[min(after, len(e.events)):] {
-		if event.Sequence%eventGap != eventGap-1 {
+		if event.Sequence%lostEventInterval != lostEventInterval-1 {
 			seen = append(seen, event)
 		}
 	}
--- a/internal/standin/fault/http.go
+++ b/internal/standin/fault/http.go
@@ -16,9 +16,9 @@
 	Writes uint64 `json:"writes"`
 }
 
-// Handler serves the faults at /faults, the counters at /counters, and every
-// other request by next under the faults. The writes are those that isWrite
-// names; throttle answers in the protocol of next.
+// Handler serves the faults at /faults and the counters at /counters, and passes every other request
+// to next, subject to the active faults. isWrite tells writes from reads; throttle writes the
+// throttling error in the protocol of next.
 func (f *Faults) Handler(next http.Handler, isWrite func(*http.Request) bool, throttle http.HandlerFunc) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /faults", f.serveSet)
@@ -47,8 +47,8 @@
 }
 
 func (f *Faults) serve(w http.ResponseWriter, r *http.Request, next http.Handler, write bool, throttle http.HandlerFunc) {
-	// The body is read first: a slow request must be carried out even after
-	// its client has gone away, as in the real service.
+	// The body is read first, so that a delayed request is executed even after its client has
+	// disconnected, as in the real service.
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
@@ -66,17 +66,17 @@
 	if s.SlowMs > 0 {
 		<-f.clock.After(time.Duration(s.SlowMs) * time.Millisecond)
 	}
-	f.carryOut(w, r, next, write)
+	f.execute(w, r, next, write)
 }
 
-func (f *Faults) carryOut(w http.ResponseWriter, r *http.Request, next http.Handler, write bool) {
+func (f *Faults) execute(w http.ResponseWriter, r *http.Request, next http.Handler, write bool) {
 	if !write {
 		f.reads.Add(1)
 		next.ServeHTTP(w, r)
 		return
 	}
 	f.writes.Add(1)
-	if f.losesThis() {
+	if f.takeLostAnswer() {
 		next.ServeHTTP(httptest.NewRecorder(), r)
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/standin/instances/doc.go
+++ b/internal/standin/instances/doc.go
@@ -1,3 +1,3 @@
-// Package instances is a stand-in for the platform's instance list: HTTP with
-// JSON rows, an ETag as revision, and a lag after which changes show.
+// Package instances is a stand-in for the platform's instance list: JSON rows over HTTP, with the
+// revision as ETag and a lag until changes become visible.
 package instances
--- a/internal/standin/instances/http.go
+++ b/internal/standin/instances/http.go
@@ -7,7 +7,7 @@
 	"carawayspread"
 )
 
-// listing is the JSON form of the list.
+// listing is the JSON body of the list.
 type listing struct {
 	Instances []carawayspread.Instance `json:"instances"`
 }
@@ -29,8 +29,8 @@
 
 func (l *List) serveList(w http.ResponseWriter, r *http.Request) {
 	v := l.visible()
-	w.Header().Set("ETag", v.tag())
-	if r.Header.Get("If-None-Match") == v.tag() {
+	w.Header().Set("ETag", v.etag())
+	if r.Header.Get("If-None-Match") == v.etag() {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
--- a/internal/standin/instances/list.go
+++ b/internal/standin/instances/list.go
@@ -12,7 +12,7 @@
 	"carawayspread/internal/standin/fault"
 )
 
-// List is the stand-in. It is an http.Handler, safe for concurrent use.
+// List is the instance list. It is an http.Handler and safe for concurrent use.
 type List struct {
 	*fault.Faults
 	handler http.Handler
@@ -20,17 +20,17 @@
 
 	mu       sync.Mutex
 	lag      time.Duration
-	versions []version // ascending in time; the last holds every change
+	versions []version // ascending by time; the last contains all changes
 }
 
-// version is the list from one moment on.
+// version is the contents of the list from a point in time on.
 type version struct {
 	revision uint64
 	since    time.Time
-	rows     map[string]carawayspread.Instance // not modified once listed
+	rows     map[string]carawayspread.Instance // immutable
 }
 
-// New returns an empty list whose changes show after lag.
+// New returns an empty list whose changes become visible after lag.
 func New(clock carawayspread.Clock, lag time.Duration) *List {
 	l := &List{Faults: fault.New(clock), clock: clock, lag: lag}
 	l.versions = []version{{revision: 1, rows: map[string]carawayspread.Instance{}}}
@@ -38,10 +38,10 @@
 	return l
 }
 
-// ServeHTTP serves the list, the faults and the counters.
+// ServeHTTP serves the list and the endpoints for faults and counters.
 func (l *List) ServeHTTP(w http.ResponseWriter, r *http.Request) { l.handler.ServeHTTP(w, r) }
 
-// SetLag changes how late changes show.
+// SetLag sets the delay after which changes become visible.
 func (l *List) SetLag(lag time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -68,7 +68,8 @@
 	l.versions = append(l.versions, next)
 }
 
-// visible returns what the list shows now and forgets what it will not show again.
+// visible returns the newest version that is at least as old as the lag, and drops the versions
+// before it. If none is old enough, it returns the oldest.
 func (l *List) visible() version {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,7 +84,7 @@
 	return l.versions[0]
 }
 
-func (v version) tag() string { return strconv.Quote(strconv.FormatUint(v.revision, 10)) }
+func (v version) etag() string { return strconv.Quote(strconv.FormatUint(v.revision, 10)) }
 
 func (v version) sorted() []carawayspread.Instance {
 	rows := make([]carawayspread.Instance, 0, len(v.rows))
--- a/internal/standin/objects/doc.go
+++ b/internal/standin/objects/doc.go
@@ -1,3 +1,3 @@
-// Package objects is a stand-in for the platform's object store: GET and PUT
-// of whole objects by path-style names of the S3 protocol, in memory.
+// Package objects is an in-memory stand-in for the platform's object store: GET and PUT of complete
+// objects in the S3 protocol, addressed in path style.
 package objects
--- a/internal/standin/objects/store.go
+++ b/internal/standin/objects/store.go
@@ -10,13 +10,13 @@
 	"carawayspread/internal/standin/fault"
 )
 
-// Store is the stand-in. It is an http.Handler, safe for concurrent use.
+// Store is the object store. It is an http.Handler and safe for concurrent use.
 type Store struct {
 	*fault.Faults
 	handler http.Handler
 
 	mu      sync.RWMutex
-	objects map[string][]byte // by path: bucket and key
+	objects map[string][]byte // by URL path, /bucket/key
 }
 
 type failure struct {
@@ -32,16 +32,16 @@
 	return s
 }
 
-// ServeHTTP serves the protocol, the faults and the counters.
+// ServeHTTP serves the object protocol and the endpoints for faults and counters.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.handler.ServeHTTP(w, r) }
 
 func isWrite(r *http.Request) bool { return r.Method == http.MethodPut }
 
 func throttle(w http.ResponseWriter, _ *http.Request) {
-	refuse(w, http.StatusServiceUnavailable, "SlowDown")
+	writeError(w, http.StatusServiceUnavailable, "SlowDown")
 }
 
-func refuse(w http.ResponseWriter, status int, code string) {
+func writeError(w http.ResponseWriter, status int, code string) {
 	w.Header().Set("Content-Type", "application/xml")
 	w.WriteHeader(status)
 	_ = xml.NewEncoder(w).Encode(failure{Code: code, Message: code})
@@ -54,7 +54,7 @@
 	case http.MethodPut:
 		s.put(w, r)
 	default:
-		refuse(w, http.StatusMethodNotAllowed, "MethodNotAllowed")
+		writeError(w, http.StatusMethodNotAllowed, "MethodNotAllowed")
 	}
 }
 
@@ -63,7 +63,7 @@
 	body, ok := s.objects[r.URL.Path]
 	s.mu.RUnlock()
 	if !ok {
-		refuse(w, http.StatusNotFound, "NoSuchKey")
+		writeError(w, http.StatusNotFound, "NoSuchKey")
 		return
 	}
 	_, _ = w.Write(body)
@@ -72,7 +72,7 @@
 func (s *Store) put(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, "IncompleteBody")
+		writeError(w, http.StatusBadRequest, "IncompleteBody")
 		return
 	}
 	s.mu.Lock()
--- a/internal/standin/plain/plain.go
+++ b/internal/standin/plain/plain.go
@@ -1,5 +1,6 @@
-// Package plain is a stand-in for a plain service: records that can be read,
-// and receipts that must not be issued twice. It counts what ran.
+// Package plain is a stand-in for a plain service, with records that can be read and receipts that
+// must not be issued twice. It records the receipts issued, so that tests can find a request
+// that ran twice.
 package plain
 
 import (
@@ -12,7 +13,7 @@
 
 const bodyLimit = 1 << 20
 
-// Service is one endpoint of a plain service, safe for concurrent use.
+// Service is one endpoint of a plain service. It is safe for concurrent use.
 type Service struct {
 	mux   *http.ServeMux
 	delay time.Duration
@@ -21,7 +22,7 @@
 	receipts []string // bodies of the receipts issued, in order
 }
 
-// New returns a service that takes that long for each request.
+// New returns a service that delays each read and each issue of a receipt.
 func New(delay time.Duration) *Service {
 	s := &Service{mux: http.NewServeMux(), delay: delay}
 	s.mux.HandleFunc("GET /records/{id}", s.read)
--- a/internal/standin/rows/published.go
+++ b/internal/standin/rows/published.go
@@ -6,31 +6,32 @@
 	"strings"
 )
 
-const routesRow = `{"version":%d,"routes":[
+const configTemplate = `{"version":%d,"routes":[
  {"name":"lookup","host":"a.example","prefix":"/lookup/","kind":"safe","timeout_ms":2000,"target_latency_ms":300,"service":"plain","max_attempts":2},
  {"name":"order","host":"a.example","prefix":"/order/","kind":"unsafe","timeout_ms":2000,"target_latency_ms":300,"service":"plain","max_attempts":1},
  {"name":"stream","host":"a.example","prefix":"/stream/","kind":"stream","timeout_ms":4000,"target_latency_ms":600,"service":"%s","max_attempts":2,"sticky":true,"resumable":true,"target_gap_ms":300}%s],
  "services":[{"name":"plain"},{"name":"model","engine":{"slots":8,"kv_capacity":100000,"kv_token_bytes":1000,"link_mbps":100000,"handle_ttl_s":5}}],
  "limits":{"max_body_bytes":1000}%s}`
 
-// Publish writes a version of the routes: one of each kind, of which the streams
-// go to that service.
+// Publish writes a version of the configuration with one route of each kind. The stream route
+// goes to the service named by streams.
 func (s *Store) Publish(version int, streams string) {
-	s.Put("op", "config", fmt.Appendf(nil, routesRow, version, streams, s.idleRoutes(), ""))
+	s.Put("op", "config", fmt.Appendf(nil, configTemplate, version, streams, s.unusedRoutesJSON(), ""))
 }
 
-// SetUnusedRoutes sets how many routes that nobody uses the next versions hold beside the others.
+// SetUnusedRoutes sets how many additional routes, to which no request is sent, the next versions
+// contain.
 func (s *Store) SetUnusedRoutes(routes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.idle = routes
+	s.unusedRoutes = routes
 }
 
-func (s *Store) idleRoutes() string {
+func (s *Store) unusedRoutesJSON() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var b strings.Builder
-	for n := range s.idle {
+	for n := range s.unusedRoutes {
 		fmt.Fprintf(&b, `,
  {"name":"idle-%06d","host":"idle%d.example","prefix":"/idle%d/","kind":"safe","timeout_ms":2000,"target_latency_ms":300,"service":"plain","max_attempts":2}`,
 			n, n%100, n)
@@ -38,36 +39,37 @@
 	return b.String()
 }
 
-// PublishKeys writes a version whose callers need the API keys of those workspaces.
+// PublishKeys writes a version in which callers need one of the API keys of the given workspaces.
+// The map key is the name of the workspace.
 func (s *Store) PublishKeys(version int, streams string, keys map[string][]string) error {
-	type tenant struct {
+	type workspace struct {
 		Name string   `json:"name"`
 		Keys []string `json:"api_keys"`
 	}
-	tenants := []tenant{}
-	for name, of := range keys {
-		tenants = append(tenants, tenant{name, of})
+	workspaces := []workspace{}
+	for name, apiKeys := range keys {
+		workspaces = append(workspaces, workspace{name, apiKeys})
 	}
-	body, err := json.Marshal(tenants)
+	body, err := json.Marshal(workspaces)
 	if err != nil {
 		return err
 	}
-	s.Put("op", "config", fmt.Appendf(nil, routesRow, version, streams, s.idleRoutes(), `,"tenants":`+string(body)))
+	s.Put("op", "config", fmt.Appendf(nil, configTemplate, version, streams, s.unusedRoutesJSON(), `,"tenants":`+string(body)))
 	return nil
 }
 
-// Server is the entry of a worker.
+// Server is the row of a worker in the table of servers.
 type Server struct {
 	Service string `json:"service"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 	Slots   int    `json:"slots"`
 	State   string `json:"state"` // ready or draining
-	Stage   string `json:"stage"` // of an engine: prefill or decode
-	Seq     int    `json:"seq"`   // grows with each entry of a worker
+	Stage   string `json:"stage"` // role of an engine: prefill or decode
+	Seq     int    `json:"seq"`   // increases with each row written for a worker
 }
 
-// PutServer writes the entry of a worker.
+// PutServer writes the row of the worker with that id.
 func (s *Store) PutServer(id string, entry Server) error {
 	row, err := json.Marshal(entry)
 	if err != nil {
--- a/internal/standin/rows/restore.go
+++ b/internal/standin/rows/restore.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Copy is the contents of a store at one moment.
+// Copy is a snapshot of the contents of a store.
 type Copy struct {
 	rows    map[id]Row
 	history []Row
@@ -13,16 +13,16 @@
 	oldest  int64
 }
 
-// Copy takes a copy of all rows and of the history.
+// Copy returns a snapshot of all rows and of the history.
 func (s *Store) Copy() Copy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Copy{rows: maps.Clone(s.rows), history: slices.Clone(s.history), ver: s.ver, oldest: s.oldest}
 }
 
-// Restore has the store come back from a copy: what was written since is gone, its
-// versions are given out again, and its answers show another era. Calls that wait are
-// ended as by an outage.
+// Restore restores the store from a copy: later writes are lost, their versions are assigned again,
+// and responses show a new era. Feed calls that wait are woken and evaluated against the restored
+// contents.
 func (s *Store) Restore(c Copy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -32,7 +32,7 @@
 	s.changed = make(chan struct{})
 }
 
-// SetEra has the answers show that era; none for zero.
+// SetEra sets the era that responses show; with zero they show none.
 func (s *Store) SetEra(era int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/rows/store.go
+++ b/internal/standin/rows/store.go
@@ -1,5 +1,5 @@
-// Package rows is a stand-in of the users' store: tables of rows with a feed of
-// changes, of which the history can be dropped.
+// Package rows is a stand-in for the platform's store: tables of rows with a feed of changes, whose
+// history can be dropped.
 package rows
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Row is one row as the store speaks it.
+// Row is one row in the JSON form of the store's protocol.
 type Row struct {
 	Table     string `json:"table"`
 	Part      string `json:"part"`
@@ -21,34 +21,34 @@
 	Tombstone bool   `json:"tombstone,omitempty"`
 }
 
-// id is what names a row.
+// id identifies a row.
 type id struct{ table, part, key string }
 
 func (r Row) id() id { return id{r.Table, r.Part, r.Key} }
 
-type answer struct {
+type response struct {
 	Rows []Row `json:"rows"`
 	More bool  `json:"has_more"`
 	Ver  int64 `json:"ver"`
-	Now  int64 `json:"now_ms"` // the store's steady clock
+	Now  int64 `json:"now_ms"` // the store's monotonic clock
 }
 
 // Store is an http.Handler. It is safe for concurrent use.
 type Store struct {
 	started time.Time
 
-	mu      sync.Mutex
-	rows    map[id]Row
-	history []Row
-	ver     int64
-	oldest  int64 // changes up to this version are dropped
-	changed chan struct{}
-	mode    int // answers with this status instead; zero serves
-	calls   int
-	lose    int // transactions whose answers are lost
-	hushed  bool
-	idle    int // routes that nobody uses
-	era     int // how often the store came back from a copy, and one
+	mu            sync.Mutex
+	rows          map[id]Row
+	history       []Row
+	ver           int64
+	oldest        int64         // changes up to this version are dropped
+	changed       chan struct{} // closed and replaced at each change
+	failStatus    int           // status of every response; zero serves normally
+	calls         int
+	loseResponses int  // number of next transactions whose responses are lost
+	suppressed    bool // waiting feed calls see no changes
+	unusedRoutes  int  // additional routes in each published version
+	era           int  // number of restores plus one, unless SetEra changed it
 }
 
 // New returns an empty store.
@@ -56,15 +56,16 @@
 	return &Store{started: time.Now(), rows: map[id]Row{}, changed: make(chan struct{}), era: 1}
 }
 
-// shows returns the store's steady clock, which began a second before the store.
-func (s *Store) shows() int64 { return time.Since(s.started).Milliseconds() + 1000 }
+// clockMillis returns the store's monotonic clock in milliseconds. It reads one second when the
+// store is created.
+func (s *Store) clockMillis() int64 { return time.Since(s.started).Milliseconds() + 1000 }
 
 // Put writes a row.
 func (s *Store) Put(table, key string, value []byte) {
 	s.write(Row{Table: table, Key: key, Value: value})
 }
 
-// Remove drops a row.
+// Remove deletes a row and writes a tombstone to the history.
 func (s *Store) Remove(table, key string) { s.write(Row{Table: table, Key: key, Tombstone: true}) }
 
 func (s *Store) write(rows ...Row) {
@@ -88,7 +89,7 @@
 	s.changed = make(chan struct{})
 }
 
-// Compact drops the history.
+// Compact drops the history: a feed call that starts at an older version gets status 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,30 +98,31 @@
 	s.changed = make(chan struct{})
 }
 
-// FailWith makes every call end with that status; zero serves again.
+// FailWith makes every call fail with that status; zero serves normally again. Feed calls that wait
+// fail at once.
 func (s *Store) FailWith(status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.mode = status
+	s.failStatus = status
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// SuppressChanges keeps calls that wait for changes from hearing of any until their wait ends.
+// SuppressChanges makes feed calls that wait return no changes until their wait ends.
 func (s *Store) SuppressChanges(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hushed = on
+	s.suppressed = on
 }
 
-// Calls returns how many calls were made.
+// Calls returns how many calls arrived.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// ServeHTTP answers the calls that read.
+// ServeHTTP serves reads, feed calls and transactions.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.calls++
@@ -143,13 +145,13 @@
 func (s *Store) get(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.mode != 0 {
-		w.WriteHeader(s.mode)
+	if s.failStatus != 0 {
+		w.WriteHeader(s.failStatus)
 		return
 	}
 	query := r.URL.Query()
 	limit, _ := strconv.Atoi(query.Get("limit"))
-	a := answer{Rows: []Row{}, Ver: s.ver, Now: s.shows()}
+	a := response{Rows: []Row{}, Ver: s.ver, Now: s.clockMillis()}
 	for id, row := range s.rows {
 		if id.table == query.Get("table") && id.part == query.Get("part") && id.key >= query.Get("from") &&
 			(query.Get("to") == "" || id.key < query.Get("to")) {
@@ -169,13 +171,13 @@
 	timeout := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		a := answer{Rows: []Row{}, Ver: s.ver, Now: s.shows()}
+		a := response{Rows: []Row{}, Ver: s.ver, Now: s.clockMillis()}
 		for _, row := range s.history {
 			if row.Ver > after && row.Table == r.URL.Query().Get("table") {
 				a.Rows = append(a.Rows, row)
 			}
 		}
-		status, changed, hushed := s.mode, s.changed, s.hushed && wait > 0
+		status, changed, suppressed := s.failStatus, s.changed, s.suppressed && wait > 0
 		if status == 0 && (after < s.oldest || after > s.ver) {
 			status = http.StatusGone
 		}
@@ -184,7 +186,7 @@
 			w.WriteHeader(status)
 			return
 		}
-		if hushed {
+		if suppressed {
 			a.Rows, a.Ver = []Row{}, after
 		}
 		if len(a.Rows) > 0 {
@@ -194,7 +196,7 @@
 		select {
 		case <-changed:
 		case <-timeout:
-			a.Now = s.shows()
+			a.Now = s.clockMillis()
 			_ = json.NewEncoder(w).Encode(a)
 			return
 		case <-r.Context().Done():
@@ -203,11 +205,12 @@
 	}
 }
 
-// LoseAnswers makes the next transactions take effect without an answer.
+// LoseAnswers makes the next n successful transactions take effect and closes their connections
+// without a response.
 func (s *Store) LoseAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lose = n
+	s.loseResponses = n
 }
 
 func (s *Store) transact(w http.ResponseWriter, r *http.Request) {
@@ -222,14 +225,14 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.mode != 0 {
-		w.WriteHeader(s.mode)
+	if s.failStatus != 0 {
+		w.WriteHeader(s.failStatus)
 		return
 	}
 	for _, row := range tx.Expected {
 		if s.rows[row.id()].Ver != row.Ver {
 			w.WriteHeader(http.StatusPreconditionFailed)
-			_ = json.NewEncoder(w).Encode(answer{Rows: []Row{}, Ver: s.ver, Now: s.shows()})
+			_ = json.NewEncoder(w).Encode(response{Rows: []Row{}, Ver: s.ver, Now: s.clockMillis()})
 			return
 		}
 	}
@@ -237,9 +240,9 @@
 		tx.Remove[i].Tombstone = true
 	}
 	s.writeLocked(append(tx.Puts, tx.Remove...)...)
-	if s.lose > 0 {
-		s.lose--
+	if s.loseResponses > 0 {
+		s.loseResponses--
 		panic(http.ErrAbortHandler)
 	}
-	_ = json.NewEncoder(w).Encode(answer{Rows: []Row{}, Ver: s.ver, Now: s.shows()})
+	_ = json.NewEncoder(w).Encode(response{Rows: []Row{}, Ver: s.ver, Now: s.clockMillis()})
 }
--- a/internal/standin/table/doc.go
+++ b/internal/standin/table/doc.go
@@ -1,4 +1,4 @@
-// Package table is a stand-in for the platform's table service: the subset of
-// the DynamoDB JSON protocol that the system uses, in memory. Every table name
-// is accepted and all share the key schema "partition" and "sort", both strings.
+// Package table is an in-memory stand-in for the platform's table service. It implements the subset
+// of the DynamoDB JSON protocol that the system uses. Every table name is accepted, and all tables
+// share the key schema "partition" and "sort", both strings.
 package table
--- a/internal/standin/table/expression.go
+++ b/internal/standin/table/expression.go
@@ -5,14 +5,15 @@
 	"strings"
 )
 
-// holds evaluates the expressions that the system uses: terms joined by AND,
-// each "attribute_not_exists(name)", "name = :value" or "name > :value".
-func (r *request) holds(expression string, item attributes) (bool, *failure) {
+// evaluate reports whether the item satisfies the expression. It supports the expressions that the
+// system uses: terms joined by AND, each "attribute_not_exists(name)", "name = :value" or
+// "name > :value".
+func (r *request) evaluate(expression string, item attributes) (bool, *failure) {
 	if expression == "" {
 		return true, nil
 	}
 	for _, term := range strings.Split(expression, " AND ") {
-		ok, err := r.termHolds(strings.TrimSpace(term), item)
+		ok, err := r.evaluateTerm(strings.TrimSpace(term), item)
 		if err != nil || !ok {
 			return false, err
 		}
@@ -20,10 +21,10 @@
 	return true, nil
 }
 
-func (r *request) termHolds(term string, item attributes) (bool, *failure) {
+func (r *request) evaluateTerm(term string, item attributes) (bool, *failure) {
 	if inner, ok := strings.CutPrefix(term, "attribute_not_exists"); ok {
 		name := strings.Trim(strings.TrimSpace(inner), "() ")
-		_, exists := item[r.name(name)]
+		_, exists := item[r.resolveName(name)]
 		return !exists, nil
 	}
 	parts := strings.Fields(term)
@@ -34,7 +35,7 @@
 	if !ok {
 		return false, invalid("undefined value: " + parts[2])
 	}
-	have, exists := item[r.name(parts[0])]
+	have, exists := item[r.resolveName(parts[0])]
 	if !exists {
 		return false, nil
 	}
@@ -47,14 +48,14 @@
 	return false, invalid("unsupported operator: " + parts[1])
 }
 
-func (r *request) name(placeholder string) string {
+func (r *request) resolveName(placeholder string) string {
 	if name, ok := r.ExpressionAttributeNames[placeholder]; ok {
 		return name
 	}
 	return placeholder
 }
 
-// compare orders two values of one type; values of different types are unequal.
+// compare compares two strings or two numbers; any other pair of values is unequal (-1).
 func compare(a, b value) int {
 	switch {
 	case a.S != nil && b.S != nil:
--- a/internal/standin/table/fuzz_test.go
+++ b/internal/standin/table/fuzz_test.go
@@ -11,8 +11,8 @@
 	"carawayspread"
 )
 
-// Whatever arrives, the stand-in answers by its protocol, and a refused
-// request stores nothing.
+// Sends arbitrary operations and bodies. Guards against a panic or a status outside the protocol,
+// and against a refused request that stores items.
 func FuzzServe(f *testing.F) {
 	key := `{"partition":{"S":"p"},"sort":{"S":"s"}`
 	f.Add("GetItem", `{"TableName":"t","Key":`+key+`}}`)
--- a/internal/standin/table/operations.go
+++ b/internal/standin/table/operations.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// conditionFailed is the code of a failed condition in a cancelled transaction.
+// conditionFailed is the reason code of a failed condition in a cancelled transaction.
 const conditionFailed = "ConditionalCheckFailed"
 
 func keyOf(table string, key attributes) (record, *failure) {
@@ -21,7 +21,7 @@
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	found, _ := t.records.Get(key)
-	return itemAnswer{Item: found.item}, nil
+	return getResponse{Item: found.item}, nil
 }
 
 func (t *Table) query(req *request) (any, *failure) {
@@ -34,7 +34,7 @@
 	}
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	page := queryAnswer{Items: []attributes{}}
+	page := queryResponse{Items: []attributes{}}
 	t.records.AscendGreaterOrEqual(start, func(r record) bool {
 		if r.table != start.table || r.partition != start.partition {
 			return false
@@ -44,7 +44,7 @@
 			return false
 		}
 		var ok bool
-		if ok, err = req.holds(req.KeyConditionExpression, r.item); ok {
+		if ok, err = req.evaluate(req.KeyConditionExpression, r.item); ok {
 			page.Items = append(page.Items, r.item)
 		}
 		return err == nil
@@ -53,11 +53,11 @@
 	return page, err
 }
 
-// queryStart returns the least record that a key condition may hold for. The
-// condition is "partition = :value", then " AND sort > :value" or nothing.
+// queryStart returns a lower bound of the records that can satisfy the key condition. The condition
+// is "partition = :value", optionally followed by " AND sort > :value".
 func (r *request) queryStart() (record, *failure) {
 	parts := strings.Fields(r.KeyConditionExpression)
-	if len(parts) < 3 || r.name(parts[0]) != partitionAttribute || parts[1] != "=" {
+	if len(parts) < 3 || r.resolveName(parts[0]) != partitionAttribute || parts[1] != "=" {
 		return record{}, invalid("the key condition must open with the partition")
 	}
 	partition := r.ExpressionAttributeValues[parts[2]].S
@@ -65,7 +65,7 @@
 		return record{}, invalid("the partition must be a string")
 	}
 	start := record{table: r.TableName, partition: *partition}
-	if len(parts) == 7 && r.name(parts[4]) == sortAttribute && parts[5] == ">" {
+	if len(parts) == 7 && r.resolveName(parts[4]) == sortAttribute && parts[5] == ">" {
 		if after := r.ExpressionAttributeValues[parts[6]].S; after != nil {
 			start.sort = *after
 		}
@@ -98,7 +98,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if err := distinct(items); err != nil {
+	if err := checkDistinct(items); err != nil {
 		return err
 	}
 	reasons, err := t.checkAll(items)
@@ -116,23 +116,24 @@
 	return nil
 }
 
-// distinct refuses a transaction with two operations on one item.
-func distinct(items []transactItem) *failure {
+// checkDistinct rejects a transaction with two operations on one item.
+func checkDistinct(items []transactItem) *failure {
 	seen := map[itemKey]bool{}
 	for _, item := range items {
 		key, err := item.key()
 		if err != nil {
 			return err
 		}
-		if seen[key.name()] {
+		if seen[key.itemKey()] {
 			return invalid("Transaction request cannot include multiple operations on one item")
 		}
-		seen[key.name()] = true
+		seen[key.itemKey()] = true
 	}
 	return nil
 }
 
-// checkAll returns a reason for each item where any condition failed, else nil.
+// checkAll checks the conditions of all items. If any fails, it returns one reason per item, else
+// nil.
 func (t *Table) checkAll(items []transactItem) ([]reason, *failure) {
 	reasons := make([]reason, len(items))
 	cancelled := false
@@ -153,12 +154,12 @@
 	return reasons, nil
 }
 
-// itemKey names one record.
+// itemKey identifies one record.
 type itemKey struct{ table, partition, sort string }
 
-func (r record) name() itemKey { return itemKey{r.table, r.partition, r.sort} }
+func (r record) itemKey() itemKey { return itemKey{r.table, r.partition, r.sort} }
 
-// key returns the key that the one member names.
+// key returns the key of the operation, as a record without its item.
 func (i transactItem) key() (record, *failure) {
 	switch {
 	case i.Put != nil:
@@ -181,7 +182,8 @@
 	return i.ConditionCheck
 }
 
-// check evaluates the condition against what is stored now.
+// check validates the item and evaluates its condition against the stored record. The caller holds
+// mu.
 func (t *Table) check(item transactItem) (bool, *failure) {
 	key, err := item.key()
 	if err != nil {
@@ -195,7 +197,7 @@
 	}
 	found, _ := t.records.Get(key)
 	req := item.request()
-	return req.holds(req.ConditionExpression, found.item)
+	return req.evaluate(req.ConditionExpression, found.item)
 }
 
 func (t *Table) store(item transactItem) {
@@ -209,7 +211,7 @@
 	}
 }
 
-// valid reports whether each value has exactly one member.
+// valid reports whether each value has exactly one member set.
 func (a attributes) valid() bool {
 	for _, v := range a {
 		members := 0
--- a/internal/standin/table/table.go
+++ b/internal/standin/table/table.go
@@ -36,7 +36,7 @@
 	return a.sort < b.sort
 }
 
-// Table is the stand-in. It is an http.Handler, safe for concurrent use.
+// Table is the table service. It is an http.Handler and safe for concurrent use.
 type Table struct {
 	*fault.Faults
 	handler http.Handler
@@ -52,7 +52,7 @@
 	return t
 }
 
-// ServeHTTP serves the protocol, the faults and the counters.
+// ServeHTTP serves the table protocol and the endpoints for faults and counters.
 func (t *Table) ServeHTTP(w http.ResponseWriter, r *http.Request) { t.handler.ServeHTTP(w, r) }
 
 // Len returns the number of stored items.
@@ -75,21 +75,21 @@
 }
 
 func throttle(w http.ResponseWriter, _ *http.Request) {
-	answer(w, http.StatusBadRequest, failed("ProvisionedThroughputExceededException", "throttled"))
+	writeResponse(w, http.StatusBadRequest, failed("ProvisionedThroughputExceededException", "throttled"))
 }
 
 func (t *Table) serve(w http.ResponseWriter, r *http.Request) {
 	var req request
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
-		answer(w, http.StatusBadRequest, failed("SerializationException", err.Error()))
+		writeResponse(w, http.StatusBadRequest, failed("SerializationException", err.Error()))
 		return
 	}
 	body, err := t.perform(operation(r), &req)
 	if err != nil {
-		answer(w, http.StatusBadRequest, err)
+		writeResponse(w, http.StatusBadRequest, err)
 		return
 	}
-	answer(w, http.StatusOK, body)
+	writeResponse(w, http.StatusOK, body)
 }
 
 func (t *Table) perform(operation string, req *request) (any, *failure) {
--- a/internal/standin/table/wire.go
+++ b/internal/standin/table/wire.go
@@ -10,16 +10,16 @@
 	sortAttribute      = "sort"
 )
 
-// value is an attribute value of the protocol; exactly one member is set.
+// value is an attribute value of the protocol. Exactly one member is set.
 type value struct {
 	S *string `json:"S,omitempty"`
 	N *string `json:"N,omitempty"`
-	B *string `json:"B,omitempty"` // in base64
+	B *string `json:"B,omitempty"` // base64
 }
 
 type attributes map[string]value
 
-// request has the members of all operations that are served.
+// request is the union of the request members of all supported operations.
 type request struct {
 	TableName                 string
 	Key                       attributes
@@ -38,11 +38,11 @@
 	ConditionCheck *request
 }
 
-type itemAnswer struct {
+type getResponse struct {
 	Item attributes `json:",omitempty"`
 }
 
-type queryAnswer struct {
+type queryResponse struct {
 	Items            []attributes
 	Count            int
 	ScannedCount     int
@@ -54,7 +54,7 @@
 	Message string `json:",omitempty"`
 }
 
-// failure is an error of the protocol.
+// failure is an error response of the protocol.
 type failure struct {
 	Type                string   `json:"__type"`
 	Message             string   `json:"message"`
@@ -69,7 +69,7 @@
 
 func invalid(message string) *failure { return failed("ValidationException", message) }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeResponse(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/x-amz-json-1.0")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
--- a/internal/standin/weights/store.go
+++ b/internal/standin/weights/store.go
@@ -11,33 +11,33 @@
 	"carawayspread/internal/standin/fault"
 )
 
-// Store is the stand-in. It is an http.Handler, safe for concurrent use.
+// Store is the weight store. It is an http.Handler and safe for concurrent use.
 type Store struct {
 	*fault.Faults
-	handler http.Handler
-	clock   carawayspread.Clock
-	every   time.Duration // between two served requests, once the burst is used; positive
-	burst   int           // requests served at once; at least 1
-	size    int           // bytes of every weight
+	handler  http.Handler
+	clock    carawayspread.Clock
+	interval time.Duration // between two served requests after the burst; positive
+	burst    int           // requests served at once; at least 1
+	size     int           // bytes of each response
 
 	mu   sync.Mutex
-	next time.Time // when the requests served so far are paid off
+	next time.Time // when the full burst is available again
 }
 
-// New returns a store that serves burst requests at once and then one every
-// interval, each of size bytes.
-func New(clock carawayspread.Clock, every time.Duration, burst, size int) *Store {
-	s := &Store{Faults: fault.New(clock), clock: clock, every: every, burst: burst, size: size}
+// New returns a store that serves burst requests at once and then one per interval, each with size
+// bytes.
+func New(clock carawayspread.Clock, interval time.Duration, burst, size int) *Store {
+	s := &Store{Faults: fault.New(clock), clock: clock, interval: interval, burst: burst, size: size}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /weights/{name...}", s.serve)
 	s.handler = s.Handler(mux, func(*http.Request) bool { return false }, s.throttle)
 	return s
 }
 
-// ServeHTTP serves the weights, the faults and the counters.
+// ServeHTTP serves the weights and the endpoints for faults and counters.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.handler.ServeHTTP(w, r) }
 
-func (s *Store) throttle(w http.ResponseWriter, _ *http.Request) { refuse(w, s.every) }
+func (s *Store) throttle(w http.ResponseWriter, _ *http.Request) { refuse(w, s.interval) }
 
 func refuse(w http.ResponseWriter, wait time.Duration) {
 	seconds := int(math.Ceil(wait.Seconds()))
@@ -46,7 +46,7 @@
 }
 
 func (s *Store) serve(w http.ResponseWriter, _ *http.Request) {
-	if wait := s.take(); wait > 0 {
+	if wait := s.admit(); wait > 0 {
 		refuse(w, wait)
 		return
 	}
@@ -54,16 +54,16 @@
 	_, _ = w.Write(make([]byte, s.size))
 }
 
-// take admits one request, or returns how long the next has to wait.
-func (s *Store) take() time.Duration {
+// admit admits one request and returns zero, or returns the time until one can be admitted.
+func (s *Store) admit() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	if s.next.Before(now) {
 		s.next = now
 	}
-	after := s.next.Add(s.every)
-	if wait := after.Sub(now) - time.Duration(s.burst)*s.every; wait > 0 {
+	after := s.next.Add(s.interval)
+	if wait := after.Sub(now) - time.Duration(s.burst)*s.interval; wait > 0 {
 		return wait
 	}
 	s.next = after
--- a/internal/standin/worker/orders.go
+++ b/internal/standin/worker/orders.go
@@ -6,25 +6,26 @@
 	"net"
 )
 
-// SetRole sets what the worker says of itself.
+// SetRole sets the role and the busy flag that the worker reports. A busy worker refuses orders.
 func (w *Worker) SetRole(role string, busy bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.role, w.busy = role, busy
 }
 
-// Orders returns the role and how many orders were accepted.
+// Orders returns the current role and the number of accepted orders.
 func (w *Worker) Orders() (role string, accepted int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.role, w.orders
 }
 
-// control answers a report or an order, and reports whether the connection stays.
-func (w *Worker) control(conn net.Conn, s Request) bool {
+// control responds to a request for a report or to an order, and reports whether the connection
+// stays open.
+func (w *Worker) control(conn net.Conn, got Request) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if s.Method == "GET" {
+	if got.Method == "GET" {
 		w.write(conn, "200 OK", fmt.Sprintf(`{"stage":%q,"busy":%t,"seq":%d,"queued":1,"active":2}`, w.role, w.busy, w.orders), "Content-Type: application/json")
 		return true
 	}
@@ -34,7 +35,7 @@
 		Expected          *int64 `json:"expected_rev"`
 	}
 	status := "202 Accepted"
-	switch err := json.Unmarshal([]byte(s.Body), &o); {
+	switch err := json.Unmarshal([]byte(got.Body), &o); {
 	case err != nil || o.Op != "stage" || o.Holder == "" || o.Fence == 0:
 		status = "400 Bad Request"
 	case o.Fence < w.fence:
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -1,5 +1,5 @@
-// Package worker is a stand-in of a worker of the users' platform, which is
-// reached without a sidecar.
+// Package worker is a stand-in for a worker of the platform, which gateways call directly, without a
+// sidecar.
 package worker
 
 import (
@@ -13,122 +13,122 @@
 	"time"
 )
 
-// Behaviour is what a worker does with one request.
+// Behaviour is how a worker handles one request.
 type Behaviour int
 
-// Behaviours. The zero value answers.
+// Behaviours. The zero value answers normally.
 const (
 	Answer             Behaviour = iota
-	Refuse                       // says that it has not run the request
-	Bare503                      // a 503 that does not say so
-	CloseWithoutAnswer           // runs it and closes the connection
-	Truncate                     // breaks off in the middle of an event or a body
-	WrongRequestID               // answers with the identifier of another request
-	Unsealed                     // a success that bears no signature
-	Error500                     // its own failure, signed
-	Unframed                     // an answer that ends with its connection
-	ExtraAnswer                  // a second answer after the first
-	Hang                         // says nothing until the connection closes
-	Misdirected                  // says that another worker has the address
-	Encoded                      // a body in an encoding that nobody asked for
-	LostHandle                   // a KV cache that cannot be had: not run
-	SlowEvents                   // as Answer, a while between the events
+	Refuse                       // a 503 that states that the request was not run
+	Bare503                      // a signed 503 that does not state whether the request was run
+	CloseWithoutAnswer           // runs the request and closes the connection without a response
+	Truncate                     // closes the connection in the middle of an event or a body
+	WrongRequestID               // the response has the id of another request
+	Unsealed                     // a success without a signature (server seal)
+	Error500                     // a signed failure of the worker itself
+	Unframed                     // the body has no length and ends when the connection closes
+	ExtraAnswer                  // a second, unrequested response after the first
+	Hang                         // sends nothing until the caller closes the connection
+	Misdirected                  // a 421: another worker has the address
+	Encoded                      // a body with a content encoding that was not requested
+	LostHandle                   // the KV cache cannot be fetched; the request was not run
+	SlowEvents                   // as Answer, with a delay before each event
 )
 
-// Events is the number of events of a stream.
+// Events is the number of events in a complete stream.
 const Events = 4
 
-// Request is one request as it arrived.
+// Request is one request as it arrived at the worker.
 type Request struct {
 	ID, Method, Target, Host, Body string
 	Header                         http.Header
 	Ran                            bool
-	PrefillOnly                    bool // it is a prompt to be read, and another answers
+	PrefillOnly                    bool // only the prompt is prefilled here; another worker decodes
 	At                             time.Time
 }
 
-// Worker serves at an address until it is closed.
+// Worker serves HTTP on a loopback address until it is closed. It is safe for concurrent use.
 type Worker struct {
 	id       string
 	listener net.Listener
 
-	mu     sync.Mutex
-	script []Behaviour
-	seen   []Request
-	gone   int // connections that their caller closed while a request ran
-	role   string
-	fence  uint64 // the highest seen
-	orders int64
-	busy   bool
-	conns  map[net.Conn]bool
-	says   map[string]string // headers of all answers
+	mu          sync.Mutex
+	script      []Behaviour
+	requests    []Request
+	disconnects int // connections closed by the caller while Hang kept a request
+	role        string
+	fence       uint64 // fencing token of the last applied order
+	orders      int64  // accepted
+	busy        bool
+	conns       map[net.Conn]bool
+	headers     map[string]string // additional headers of responses
 }
 
-// New starts a worker with that identifier, which does what the script says,
-// one entry a request, and answers after its end.
+// New starts a worker with that id. Each request takes the next behaviour from the script; after its
+// end the worker answers normally.
 func New(id string, script ...Behaviour) (*Worker, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	w := &Worker{id: id, listener: listener, script: script, conns: map[net.Conn]bool{}, says: map[string]string{}}
+	w := &Worker{id: id, listener: listener, script: script, conns: map[net.Conn]bool{}, headers: map[string]string{}}
 	go w.serve()
 	return w, nil
 }
 
-// Address returns IP number and port.
+// Address returns the IP address and port.
 func (w *Worker) Address() string { return w.listener.Addr().String() }
 
-// ID returns the identifier.
+// ID returns the id of the worker.
 func (w *Worker) ID() string { return w.id }
 
-// Requests returns the requests that arrived.
+// Requests returns the requests that arrived, in order.
 func (w *Worker) Requests() []Request {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]Request(nil), w.seen...)
+	return append([]Request(nil), w.requests...)
 }
 
-// Runs returns how often it ran a request.
+// Runs returns how many requests the worker ran.
 func (w *Worker) Runs() int {
 	n := 0
-	for _, s := range w.Requests() {
-		if s.Ran {
+	for _, got := range w.Requests() {
+		if got.Ran {
 			n++
 		}
 	}
 	return n
 }
 
-// AppendScript adds to what the script says.
+// AppendScript appends behaviours to the script.
 func (w *Worker) AppendScript(script ...Behaviour) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.script = append(w.script, script...)
 }
 
-// SetHeader has all answers from now on bear a header, or none where the value is empty.
+// SetHeader sets a header of all later responses; an empty value removes it.
 func (w *Worker) SetHeader(name, value string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.says[name] = value
+	w.headers[name] = value
 }
 
-// ClearScript drops what is left of the script.
+// ClearScript drops the rest of the script, so that the worker answers normally.
 func (w *Worker) ClearScript() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.script = nil
 }
 
-// CallerDisconnects returns how many callers left while their request ran.
+// CallerDisconnects returns how many callers closed their connection while Hang kept their request.
 func (w *Worker) CallerDisconnects() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.gone
+	return w.disconnects
 }
 
-// Close ends the worker and its connections.
+// Close stops the worker and closes its connections.
 func (w *Worker) Close() {
 	_ = w.listener.Close()
 	w.mu.Lock()
@@ -171,46 +171,46 @@
 	}
 }
 
-func (w *Worker) next(s Request) Behaviour {
+func (w *Worker) next(got Request) Behaviour {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	does := Answer
+	behaviour := Answer
 	if len(w.script) > 0 {
-		does, w.script = w.script[0], w.script[1:]
+		behaviour, w.script = w.script[0], w.script[1:]
 	}
-	switch does {
+	switch behaviour {
 	case Refuse, Misdirected, LostHandle:
 	default:
-		s.Ran = s.Header.Get("Carawayspread-Stage") == ""
+		got.Ran = got.Header.Get("Carawayspread-Stage") == ""
 	}
-	if strings.HasPrefix(s.Target, "/-/") {
-		s.Ran = false
+	if strings.HasPrefix(got.Target, "/-/") {
+		got.Ran = false
 	}
-	w.seen = append(w.seen, s)
-	return does
+	w.requests = append(w.requests, got)
+	return behaviour
 }
 
-// answer writes what the script says and reports whether the connection stays.
+// answer responds as the script says and reports whether the connection stays open.
 func (w *Worker) answer(conn net.Conn, r *bufio.Reader, req *http.Request, body string) bool {
-	s := Request{
+	got := Request{
 		ID: req.Header.Get("Carawayspread-Request-Id"), Method: req.Method, Target: req.RequestURI, Host: req.Host,
 		Body: body, Header: req.Header, PrefillOnly: req.Header.Get("Carawayspread-Stage") != "", At: time.Now(),
 	}
-	if expected := s.Header.Get("Carawayspread-Expect-Instance"); expected != "" && expected != w.id {
+	if expected := got.Header.Get("Carawayspread-Expect-Instance"); expected != "" && expected != w.id {
 		w.mu.Lock()
-		w.seen = append(w.seen, s)
+		w.requests = append(w.requests, got)
 		w.mu.Unlock()
 		w.write(conn, "421 Misdirected Request", "", "Carawayspread-Instance-Id: "+w.id)
 		return true
 	}
-	if strings.HasPrefix(s.Target, "/-/report") || strings.HasPrefix(s.Target, "/-/order") {
-		return w.control(conn, s)
+	if strings.HasPrefix(got.Target, "/-/report") || strings.HasPrefix(got.Target, "/-/order") {
+		return w.control(conn, got)
 	}
-	does := w.next(s)
-	id := "Carawayspread-Request-Id: " + s.ID + w.said()
-	seal := "Carawayspread-Server-Seal: " + w.id + "." + s.ID
-	text := w.id + " answers " + s.ID
-	switch does {
+	behaviour := w.next(got)
+	id := "Carawayspread-Request-Id: " + got.ID + w.extraHeaders()
+	seal := "Carawayspread-Server-Seal: " + w.id + "." + got.ID
+	text := w.id + " answers " + got.ID
+	switch behaviour {
 	case Refuse, LostHandle:
 		w.write(conn, "503 Service Unavailable", "", id, "Carawayspread-Not-Executed: 1")
 	case Misdirected:
@@ -230,24 +230,24 @@
 	case Hang:
 		_, _ = r.ReadByte()
 		w.mu.Lock()
-		w.gone++
+		w.disconnects++
 		w.mu.Unlock()
 		return false
 	case Unframed:
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+id+"\r\n"+seal+"\r\nConnection: close\r\n\r\n"+text)
 		return false
 	default:
-		return w.succeed(conn, s, does, text, id, seal)
+		return w.succeed(conn, got, behaviour, text, id, seal)
 	}
 	return true
 }
 
-// said returns the lines of the headers of all answers, each after a line end.
-func (w *Worker) said() string {
+// extraHeaders returns the additional headers of responses, each preceded by a line break.
+func (w *Worker) extraHeaders() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var lines strings.Builder
-	for name, value := range w.says {
+	for name, value := range w.headers {
 		if value != "" {
 			lines.WriteString("\r\n" + name + ": " + value)
 		}
@@ -255,41 +255,41 @@
 	return lines.String()
 }
 
-func (w *Worker) succeed(conn net.Conn, s Request, does Behaviour, text, id, seal string) bool {
+func (w *Worker) succeed(conn net.Conn, got Request, behaviour Behaviour, text, id, seal string) bool {
 	switch {
-	case s.Header.Get("Carawayspread-Stage") != "":
-		w.write(conn, "200 OK", `{"kv_handle":"h-`+s.ID+`","tokens":10,"version":1}`, id)
-	case strings.Contains(s.Target, "/stream/"):
-		return w.stream(conn, s, does, id, seal)
-	case does == Truncate:
+	case got.Header.Get("Carawayspread-Stage") != "":
+		w.write(conn, "200 OK", `{"kv_handle":"h-`+got.ID+`","tokens":10,"version":1}`, id)
+	case strings.Contains(got.Target, "/stream/"):
+		return w.stream(conn, got, behaviour, id, seal)
+	case behaviour == Truncate:
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+id+"\r\n"+seal+"\r\nContent-Length: 100\r\n\r\n"+text)
 		return false
 	default:
 		w.write(conn, "200 OK", text, id, seal)
 	}
-	if does == ExtraAnswer {
+	if behaviour == ExtraAnswer {
 		w.write(conn, "200 OK", "late "+text, id, seal)
 	}
 	return true
 }
 
-func (w *Worker) stream(conn net.Conn, s Request, does Behaviour, id, seal string) bool {
+func (w *Worker) stream(conn net.Conn, got Request, behaviour Behaviour, id, seal string) bool {
 	_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+id+"\r\n"+seal+"\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
 	first := 1
-	if last := s.Header.Get("Last-Event-Id"); last != "" {
+	if last := got.Header.Get("Last-Event-Id"); last != "" {
 		_, _ = fmt.Sscan(last, &first)
 		first++
 	}
 	for n := first; n <= Events; n++ {
-		event := fmt.Sprintf("id: %d\ndata: part %d of %s\n\n", n, n, s.ID)
-		if does == Truncate && n == first+1 {
+		event := fmt.Sprintf("id: %d\ndata: part %d of %s\n\n", n, n, got.ID)
+		if behaviour == Truncate && n == first+1 {
 			event = event[:len(event)/2]
 		}
-		if does == SlowEvents {
+		if behaviour == SlowEvents {
 			time.Sleep(50 * time.Millisecond)
 		}
 		_, _ = fmt.Fprintf(conn, "%x\r\n%s\r\n", len(event), event)
-		if does == Truncate && n == first+1 {
+		if behaviour == Truncate && n == first+1 {
 			return false
 		}
 	}
