--- a/internal/connection/sidecarhttp/body.go
+++ b/internal/connection/sidecarhttp/body.go
@@ -18,7 +18,7 @@
 // watchdog cancels an attempt on which nothing arrives.
 //
 // If the sidecar is paused or the network is partitioned, no reset arrives, and the connection would
-// stay open without data for ever. The timer restarts with all data and heartbeats, so only an
+// stay open without data forever. The timer restarts with all data and heartbeats, so only an
 // attempt without either is cancelled.
 type watchdog struct {
 	timer *time.Timer
--- a/internal/decision/baselineplacement/placer.go
+++ b/internal/decision/baselineplacement/placer.go
@@ -84,11 +84,11 @@
 }
 
 func boundedHome(p *Placer, candidates []carawayspread.Endpoint, req carawayspread.PlacementRequest) (carawayspread.Endpoint, bool) {
-	home, ok := fixedHome(p, candidates, req)
-	if req.Prompt != nil && req.PrefilledBy == "" && p.tokens[home.ID()] > maxPromptTokens {
-		return home, false
+	endpoint, ok := fixedHome(p, candidates, req)
+	if req.Prompt != nil && req.PrefilledBy == "" && p.tokens[endpoint.ID()] > maxPromptTokens {
+		return endpoint, false
 	}
-	return home, ok
+	return endpoint, ok
 }
 
 // SetEndpoints replaces the endpoints of a service.
--- a/internal/decision/hashrouter/heat.go
+++ b/internal/decision/hashrouter/heat.go
@@ -53,9 +53,9 @@
 	maxBudget  = 32 * budgetUnit
 )
 
-func (b *budget) earn(part int64) {
+func (b *budget) credit(amount int64) {
 	if b.left.Load() < maxBudget {
-		b.left.Add(part)
+		b.left.Add(amount)
 	}
 }
 
--- a/internal/decision/hashrouter/router.go
+++ b/internal/decision/hashrouter/router.go
@@ -209,7 +209,7 @@
 // Sent counts an attempt of this entry as in flight.
 func (r *Router) Sent(id carawayspread.EndpointID, job *carawayspread.Job) {
 	r.count(id, 1)
-	r.budget.earn(overflowShare)
+	r.budget.credit(overflowShare)
 	if job.Prefix != 0 {
 		r.heat.add(job.Prefix)
 	}
--- a/internal/decision/placement/engine.go
+++ b/internal/decision/placement/engine.go
@@ -58,7 +58,7 @@
 	//
 	// Without decay, an engine that one bad answer made look slow would get no more requests, and
 	// so no answer that corrects it. An engine that prefills all the time is left as it is: under
-	// overload no answer reveals its slowdown, and a slow engine would count as sound (in a replay
+	// overload no answer reveals its slowdown, and a slow engine would count as healthy (in a replay
 	// at twice the load, 0.85 of the answers that are in time at full load instead of over 0.9).
 	decayAfter    = 3 * time.Second
 	decayRate     = 0.15
--- a/internal/decision/placement/mixes_test.go
+++ b/internal/decision/placement/mixes_test.go
@@ -76,8 +76,8 @@
 
 const mixDuration = 40 * time.Second
 
-func (m mix) play(placer string, load float64) *replay {
-	return newReplay(placer, true, m.processes, m.prefillEngines, m.decodeEngines).play(mixDuration, m.scaled(load)...)
+func (m mix) replay(placer string, load float64) *replay {
+	return newReplay(placer, true, m.processes, m.prefillEngines, m.decodeEngines).run(mixDuration, m.scaled(load)...)
 }
 
 // Guards against a placement that answers far fewer requests of either user in time than any
@@ -87,9 +87,9 @@
 func TestMixesNearTheBound(t *testing.T) {
 	for _, m := range mixes() {
 		t.Run(m.name, func(t *testing.T) {
-			usual := m.play("estimate", 1)
+			usual := m.replay("estimate", 1)
 			qt.Check(t, usual.share() >= 0.9*m.bound(usual.requests, mixDuration), qt.IsTrue, qt.Commentf("%.3f", usual.share()))
-			full, twice := m.play("estimate", m.capacity()), m.play("estimate", 2*m.capacity())
+			full, twice := m.replay("estimate", m.capacity()), m.replay("estimate", 2*m.capacity())
 			qt.Check(t, float64(twice.inTime) >= 0.9*float64(full.inTime), qt.IsTrue, qt.Commentf("%d of %d", twice.inTime, full.inTime))
 		})
 	}
@@ -107,7 +107,7 @@
 	}
 	few, many := m, m
 	few.processes, many.processes = 4, 40
-	atFew, atMany := few.play("estimate", m.capacity()), many.play("estimate", m.capacity())
+	atFew, atMany := few.replay("estimate", m.capacity()), many.replay("estimate", m.capacity())
 	t.Logf("in time: %d with 4 processes, %d with 40", atFew.inTime, atMany.inTime)
 	qt.Check(t, float64(atMany.inTime) >= 0.95*float64(atFew.inTime), qt.IsTrue)
 	qt.Check(t, atMany.share() >= 0.9, qt.IsTrue, qt.Commentf("%.3f", atMany.share()))
@@ -118,7 +118,7 @@
 func TestPrefixesAreSeldomRecomputed(t *testing.T) {
 	for _, m := range mixes() {
 		t.Run(m.name, func(t *testing.T) {
-			r := m.play("estimate", 1.5)
+			r := m.replay("estimate", 1.5)
 			qt.Check(t, float64(r.recomputed) < 0.25*float64(r.total), qt.IsTrue, qt.Commentf("%d of %d", r.recomputed, r.total))
 			qt.Check(t, r.share() >= 0.95*m.bound(r.requests, mixDuration), qt.IsTrue, qt.Commentf("%.3f", r.share()))
 		})
@@ -132,7 +132,7 @@
 	for _, m := range mixes() {
 		fmt.Printf("| %s %d+%d, %d processes | load | bound | in time | late | refused | shared parts read again |\n|---|---|---|---|---|---|---|\n", m.name, m.prefillEngines, m.decodeEngines, m.processes)
 		row := func(name string, load float64) {
-			r := m.play(name, load)
+			r := m.replay(name, load)
 			percent := func(n int) float64 { return 100 * float64(n) / float64(r.total) }
 			fmt.Printf("| %s | %.1f | %.1f | %.1f | %.1f | %.1f | %.1f |\n", name, load, 100*m.bound(r.requests, mixDuration),
 				percent(r.inTime), percent(r.late), percent(r.refused), percent(r.recomputed))
--- a/internal/decision/placement/placer.go
+++ b/internal/decision/placement/placer.go
@@ -43,7 +43,7 @@
 	// maxTransferPrice bounds the price of a transfer, relative to the target, so that no answer is
 	// late to spare a link.
 	maxTransferPrice = 0.25
-	// workPrice is the price of a millisecond of engine time, relative to a millisecond of the
+	// prefillPrice is the price of a millisecond of engine time, relative to a millisecond of the
 	// request's own wait.
 	prefillPrice = 0.6
 	// recomputePrice is the price of prefilling a token that another engine holds, in addition to
--- a/internal/decision/placement/replay_test.go
+++ b/internal/decision/placement/replay_test.go
@@ -136,8 +136,8 @@
 	return r
 }
 
-// play runs the patterns for d, until all requests have ended.
-func (r *replay) play(d time.Duration, patterns ...pattern) *replay {
+// run runs the patterns for d, until all requests have ended.
+func (r *replay) run(d time.Duration, patterns ...pattern) *replay {
 	end := r.clock.Now().Add(d)
 	for _, p := range patterns {
 		var arrive func()
@@ -258,9 +258,9 @@
 // times queues them behind each other.
 func TestEstimateBeatsPlainPlacement(t *testing.T) {
 	const duration = 20 * time.Second
-	estimate := newReplay("estimate", true, 4, 6, 12).play(duration, long, short)
+	estimate := newReplay("estimate", true, 4, 6, 12).run(duration, long, short)
 	for _, name := range []string{"roundRobin", "leastOutstanding", "fixedHome", "boundedHome"} {
-		plain := newReplay(name, true, 4, 6, 12).play(duration, long, short)
+		plain := newReplay(name, true, 4, 6, 12).run(duration, long, short)
 		t.Logf("%s %.3f, estimate %.3f in time", name, plain.share(), estimate.share())
 		qt.Check(t, estimate.share() > plain.share()+0.05, qt.IsTrue, qt.Commentf(name))
 	}
@@ -282,8 +282,8 @@
 		t.Run(name, func(t *testing.T) {
 			burst := short
 			burst.perSecond, burst.shared = 430, c.shared
-			gossip := newReplay("estimate", true, 8, 6, 6).play(20*time.Second, burst)
-			isolated := newReplay("estimate", false, 8, 6, 6).play(20*time.Second, burst)
+			gossip := newReplay("estimate", true, 8, 6, 6).run(20*time.Second, burst)
+			isolated := newReplay("estimate", false, 8, 6, 6).run(20*time.Second, burst)
 			t.Logf("with load updates %.3f worst %v, without %.3f worst %v", gossip.share(), gossip.worstWait, isolated.share(), isolated.worstWait)
 			qt.Check(t, gossip.share() > isolated.share()+c.gain, qt.IsTrue)
 			qt.Check(t, gossip.worstWait*2 < isolated.worstWait, qt.IsTrue)
@@ -297,8 +297,8 @@
 func TestSharedPrefixesReachTheirEngine(t *testing.T) {
 	light := long
 	light.perSecond, light.prefixes = 12, 30
-	estimate := newReplay("estimate", true, 4, 6, 12).play(20*time.Second, light)
-	plain := newReplay("leastOutstanding", true, 4, 6, 12).play(20*time.Second, light)
+	estimate := newReplay("estimate", true, 4, 6, 12).run(20*time.Second, light)
+	plain := newReplay("leastOutstanding", true, 4, 6, 12).run(20*time.Second, light)
 	t.Logf("prefilled again: estimate %d, leastOutstanding %d of %d", estimate.recomputed, plain.recomputed, estimate.total)
 	qt.Check(t, estimate.recomputed*2 < plain.recomputed, qt.IsTrue)
 }
@@ -315,7 +315,7 @@
 	qt.Check(t, err, qt.IsNil, qt.Commentf("refused before, no other load"))
 	busy := short
 	busy.perSecond = 200
-	r.play(20*time.Second, busy, huge)
+	r.run(20*time.Second, busy, huge)
 	t.Logf("%d of %d large served, %.3f in time", r.largeServed, r.large, r.share())
 	qt.Check(t, r.largeServed, qt.Equals, r.large)
 	qt.Check(t, float64(r.inTime)/float64(r.total-r.large) > 0.95, qt.IsTrue)
@@ -326,7 +326,7 @@
 func TestOverloadIsRefusedAtOnce(t *testing.T) {
 	overload := long
 	overload.perSecond = 200
-	r := newReplay("estimate", true, 4, 6, 12).play(10*time.Second, overload)
+	r := newReplay("estimate", true, 4, 6, 12).run(10*time.Second, overload)
 	admitted := r.total - r.refused
 	t.Logf("%d requests, %d refused, %d in time, worst %v", r.total, r.refused, r.inTime, r.worstWait)
 	qt.Check(t, r.worstWait < overload.target*3/2, qt.IsTrue, qt.Commentf("requests admitted at first submission are answered soon"))
@@ -347,7 +347,7 @@
 			r := newReplay("estimate", true, 2, 4, 4)
 			r.rand = rand.New(rand.NewPCG(1, 2+seed))
 			r.engines["w0"].slowdown = 3
-			r.play(20*time.Second, long)
+			r.run(20*time.Second, long)
 			t.Logf("%.3f in time", r.share())
 			qt.Check(t, r.share() > 0.75, qt.IsTrue)
 			engines := r.placers[0].(*Placer).pools["s"].engines
@@ -364,7 +364,7 @@
 	r.engines["w0"].slowdown = 3
 	light := long
 	light.perSecond, light.prefixes = 1, 1
-	r.play(20*time.Second, light)
+	r.run(20*time.Second, light)
 	slowdown := r.placers[0].(*Placer).pools["s"].engines["w0"].slowdown
 	qt.Check(t, slowdown > 1.4, qt.IsTrue, qt.Commentf("%.2f", slowdown))
 }
@@ -373,7 +373,7 @@
 func TestRequestsStayInTheirZone(t *testing.T) {
 	light := short
 	light.perSecond, light.shared = 10, 0
-	r := newReplay("estimate", true, 2, 6, 6).play(10*time.Second, light)
+	r := newReplay("estimate", true, 2, 6, 6).run(10*time.Second, light)
 	t.Logf("%d of %d crossed zones", r.crossZone, r.total)
 	qt.Check(t, r.crossZone*3 < r.total, qt.IsTrue)
 }
@@ -381,7 +381,7 @@
 // Guards against a new engine that gets all requests at first because it is assumed to be faster
 // than it is: it inherits the learned values of its role.
 func TestNewEngineInheritsFromItsRole(t *testing.T) {
-	r := newReplay("estimate", true, 1, 2, 2).play(5*time.Second, short)
+	r := newReplay("estimate", true, 1, 2, 2).run(5*time.Second, short)
 	p := r.placers[0].(*Placer)
 	var all []carawayspread.Endpoint
 	for _, e := range r.engines {
@@ -397,10 +397,10 @@
 	qt.Check(t, p.pools["s"].engines["new"].delay, qt.Equals, 3*initialDelay)
 }
 
-// Guards against a busy slow engine being taken for a sound one: at a peak no answer updates its
+// Guards against a busy slow engine being taken for a healthy one: at a peak no answer updates its
 // slowdown for seconds, since all its prefills wait in its queue.
 func TestSlowEngineInUseStaysSlow(t *testing.T) {
-	r := newReplay("estimate", true, 1, 3, 3).play(3*time.Second, short)
+	r := newReplay("estimate", true, 1, 3, 3).run(3*time.Second, short)
 	pool := r.placers[0].(*Placer).pools["s"]
 	e := pool.engines["w0"]
 	e.slowdown, e.learnedAt = maxSlowdown, r.clock.Now()
@@ -415,7 +415,7 @@
 // Guards against an engine that gets no requests any more because one bad answer made it look slow:
 // without requests, its slowdown decays towards that of the others.
 func TestLearnedSlowdownDecays(t *testing.T) {
-	r := newReplay("estimate", true, 1, 3, 3).play(3*time.Second, short)
+	r := newReplay("estimate", true, 1, 3, 3).run(3*time.Second, short)
 	pool := r.placers[0].(*Placer).pools["s"]
 	e := pool.engines["w0"]
 	e.slowdown, e.learnedAt = maxSlowdown, r.clock.Now()
@@ -432,7 +432,7 @@
 func TestOverloadServesLargestRequests(t *testing.T) {
 	mid := pattern{perSecond: 70, tokens: 6000, shared: 0, target: 600 * time.Millisecond}
 	big := pattern{perSecond: 9, tokens: 30000, shared: 0, target: 600 * time.Millisecond, large: true}
-	r := newReplay("estimate", true, 2, 4, 3).play(30*time.Second, mid, big)
+	r := newReplay("estimate", true, 2, 4, 3).run(30*time.Second, mid, big)
 	rest := float64(r.total-r.large-(r.refused-(r.large-r.largeServed))) / float64(r.total-r.large)
 	share := float64(r.largeServed) / float64(r.large)
 	t.Logf("%.2f of the largest served, %.2f of the others", share, rest)
--- a/internal/decision/usage/ledger.go
+++ b/internal/decision/usage/ledger.go
@@ -138,8 +138,8 @@
 }
 
 // Merge adds the counts that a process published, and reports whether the process has closed
-// the window and all its counts have arrived. It ignores
-// windows already dropped and statements of this process, and returns true for them.
+// the window and all its counts have arrived. It ignores windows already dropped and statements
+// of this process, and returns true for them.
 func (l *Ledger) Merge(statement carawayspread.UsageStatement) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/process/confsync/peers.go
+++ b/internal/process/confsync/peers.go
@@ -48,7 +48,7 @@
 func (s *Syncer) queryPeers(ctx context.Context, began stamp, endRound context.CancelFunc) {
 	var queries sync.WaitGroup
 	for _, address := range s.choosePeers() {
-		if _, asked := s.inFlight.LoadOrStore(address, nil); asked {
+		if _, pending := s.inFlight.LoadOrStore(address, nil); pending {
 			continue
 		}
 		queries.Go(func() {
--- a/internal/process/entry/once.go
+++ b/internal/process/entry/once.go
@@ -63,12 +63,12 @@
 		e.finished(c, answer, "served")
 		return
 	}
-	e.fail(w, r, c, answer, e.settle(ctx, claim, failure))
+	e.fail(w, r, c, answer, e.recordFailure(ctx, claim, failure))
 }
 
-// settle records how a claimed request failed and returns the error for its caller,
+// recordFailure records how a claimed request failed and returns the error for its caller,
 // which must not contradict what a retry will read from the record.
-func (e *Entry) settle(ctx context.Context, claim Claim, failure *carawayspread.Error) *carawayspread.Error {
+func (e *Entry) recordFailure(ctx context.Context, claim Claim, failure *carawayspread.Error) *carawayspread.Error {
 	final, record := failure, claim.Failed
 	if !failure.NotRun() {
 		final, record = unknownOutcome(failure), claim.Unknown
--- a/internal/process/follower/freshness.go
+++ b/internal/process/follower/freshness.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// boundsStore reports whether the store's clock is bounded closely enough.
+// storeClockBounded reports whether the store's clock is bounded closely enough.
 func (f *Follower) storeClockBounded() bool {
 	drift, known := f.store.DriftAllowance()
 	return known && drift <= driftLimit
--- a/prompt.go
+++ b/prompt.go
@@ -20,12 +20,12 @@
 // PrefixHashes returns for each part the hash of the prefix that ends with it: equal parts have
 // equal hashes only after equal prefixes.
 func (p Prompt) PrefixHashes() []uint64 {
-	chains := make([]uint64, len(p.Parts))
+	hashes := make([]uint64, len(p.Parts))
 	h := uint64(14695981039346656037) // FNV offset basis
 	for i, part := range p.Parts {
 		h = (h ^ part.ID) * 1099511628211 // FNV prime
 		h ^= h >> 29
-		chains[i] = h
+		hashes[i] = h
 	}
-	return chains
+	return hashes
 }
