--- a/decisions.go
+++ b/decisions.go
@@ -27,10 +27,10 @@
 	RolePolicies = NewRegistry[func(Environment) RolePolicy]("forecast")
 )
 
-// Scheduler decides which jobs of one service are sent, queued or rejected. Its callers serialise
+// Scheduler decides which jobs of one service are sent, queued or refused. Its callers serialise
 // their calls.
 type Scheduler interface {
-	// Offer queues the job, or rejects it at once with an *Error that is marked as not run and
+	// Offer queues the job, or refuses it at once with an *Error that is marked as not run and
 	// has a RetryAfter.
 	Offer(job *Job) error
 	// Next removes and returns the job that is to be sent now, or nil if none is queued or all
@@ -40,13 +40,13 @@
 	// after the next Done, after Capacity has grown, or after a short delay.
 	Requeue(job *Job)
 	// Expired removes and returns the queued jobs that can no longer meet their target or were
-	// evicted in favour of others, each with its rejection.
+	// evicted in favour of others, each with its refusal.
 	Expired() []RefusedJob
 	// Cancel removes a queued job whose caller disconnected. It returns false if the job is not
 	// queued.
 	Cancel(job *Job) bool
 	// Done frees the slot of a job and records its result.
-	Done(job *Job, served JobResult)
+	Done(job *Job, result JobResult)
 	// Capacity sets how many jobs this process may run at the endpoints concurrently.
 	Capacity(slots int)
 	// Len returns the number of queued jobs.
@@ -61,7 +61,7 @@
 	Took       time.Duration // from Next to the end of the answer
 }
 
-// RefusedJob is a job that was removed from the queue, with its final rejection.
+// RefusedJob is a job that was removed from the queue, with its final refusal.
 type RefusedJob struct {
 	Job *Job
 	Err *Error
--- a/feedback.go
+++ b/feedback.go
@@ -11,7 +11,7 @@
 	Rate float64
 	// Draining says that the endpoint takes no new work and will shut down.
 	Draining bool
-	// RetryAfter is how long the rejected process must send nothing to the endpoint; zero if the
+	// RetryAfter is how long the refused process must send nothing to the endpoint; zero if the
 	// endpoint does not say.
 	RetryAfter time.Duration
 }
--- a/internal/connection/knowledge/learner.go
+++ b/internal/connection/knowledge/learner.go
@@ -29,7 +29,7 @@
 
 const (
 	// pollInterval is the time between two checks whether peers must be queried. A store that
-	// answers does so in a tenth of it. Routes learnt from peers are in use within two seconds.
+	// answers does so in a tenth of it. Routes learned from peers are in use within two seconds.
 	pollInterval = 500 * time.Millisecond
 	// connectTimeout bounds connecting to a peer. It is many times the network latency, and less
 	// than callers wait.
--- a/internal/decision/placement/engine.go
+++ b/internal/decision/placement/engine.go
@@ -16,7 +16,7 @@
 	prefillPerThousandPairs = 350 * time.Nanosecond
 	prefillFixed            = 4 * time.Millisecond
 	// mixedPrefillFactor and prefillChunk describe prefill at an engine that also decodes: it runs
-	// at half the speed, one chunk of so many tokens at a time between decode steps.
+	// at half the speed, one chunk of prefillChunk tokens at a time between decode steps.
 	mixedPrefillFactor = 2
 	prefillChunk       = 512
 	// stepFixed and stepPerRequest give the shape of the nominal time of one decode step.
@@ -176,7 +176,7 @@
 }
 
 // eventGap returns the longest expected time between two events of the answers that run at the
-// engine, with the given prefill time pending there for prompts of about so many tokens: a chunk
+// engine, with the given prefill time pending there for prompts of about the given length: a chunk
 // runs between any two steps of an event until all prompts are prefilled.
 func (e *engine) eventGap(running, tokensPerEvent int, pending time.Duration, tokens int) time.Duration {
 	pairs := time.Duration(int64(prefillChunk) * int64(tokens) / 1000)
@@ -194,7 +194,7 @@
 	}
 }
 
-// stepTime returns the expected time of one decode step with so many answers running.
+// stepTime returns the expected time of one decode step with the given number of running answers.
 func (e *engine) stepTime(running int) time.Duration {
 	return time.Duration(float64(nominalStepTime(running)) * e.stepSlowdown)
 }
@@ -206,7 +206,8 @@
 	}
 }
 
-// nominalStepTime returns the time of one decode step with so many answers running, at slowdown 1.
+// nominalStepTime returns the time of one decode step at slowdown 1, with the given number of
+// running answers.
 func nominalStepTime(running int) time.Duration {
 	return stepFixed + time.Duration(running)*stepPerRequest
 }
--- a/internal/decision/placement/pool.go
+++ b/internal/decision/placement/pool.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// answerTime returns how long an answer decodes at the engine beside so many others.
+// answerTime returns how long an answer decodes at the engine with the given number of running answers.
 func (pool *pool) answerTime(e *engine, running int) time.Duration {
 	return time.Duration(max(1, pool.meanOutputTokens) * float64(e.stepTime(running)))
 }
--- a/internal/decision/zonereader/election.go
+++ b/internal/decision/zonereader/election.go
@@ -11,7 +11,7 @@
 // what one has read and announced counts as confirmed for the others. The other processes
 // learn by gossip, from the readers and from each other, when the store last confirmed what
 // they hold. A wrong or outdated view of the reader costs calls to the store and nothing
-// else: a process that has learnt of no confirmation for too long reads for itself.
+// else: a process that has learned of no confirmation for too long reads for itself.
 package zonereader
 
 import (
--- a/internal/process/dispatcher/dispatcher.go
+++ b/internal/process/dispatcher/dispatcher.go
@@ -124,7 +124,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.modules.Scheduler.Capacity(capacity)
-	d.rejectExpired()
+	d.refuseExpired()
 	d.dispatch()
 }
 
@@ -170,7 +170,7 @@
 	}
 	ready := make(chan *carawayspread.Error, 1)
 	d.waiters[job] = ready
-	d.rejectExpired()
+	d.refuseExpired()
 	d.dispatch()
 	return ready, nil
 }
@@ -190,19 +190,19 @@
 
 // Finish returns the capacity of a job that Wait admitted, with the work that it
 // took.
-func (d *Dispatcher) Finish(job *carawayspread.Job, served carawayspread.JobResult) {
+func (d *Dispatcher) Finish(job *carawayspread.Job, result carawayspread.JobResult) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.finish(job, served)
+	d.finish(job, result)
 }
 
-func (d *Dispatcher) finish(job *carawayspread.Job, served carawayspread.JobResult) {
-	if served.Took > 0 {
+func (d *Dispatcher) finish(job *carawayspread.Job, result carawayspread.JobResult) {
+	if result.Took > 0 {
 		d.window.Served(d.running)
 	}
 	d.running--
-	d.modules.Scheduler.Done(job, served)
-	d.rejectExpired()
+	d.modules.Scheduler.Done(job, result)
+	d.refuseExpired()
 	d.dispatch()
 }
 
@@ -219,8 +219,8 @@
 	}
 }
 
-// rejectExpired refuses the jobs that the scheduler has expired. The caller holds mu.
-func (d *Dispatcher) rejectExpired() {
+// refuseExpired refuses the jobs that the scheduler has expired. The caller holds mu.
+func (d *Dispatcher) refuseExpired() {
 	for _, refused := range d.modules.Scheduler.Expired() {
 		if ready, ok := d.waiters[refused.Job]; ok {
 			ready <- refused.Err
--- a/internal/process/sidecar/sidecar.go
+++ b/internal/process/sidecar/sidecar.go
@@ -33,7 +33,7 @@
 	ID      carawayspread.EndpointID
 	Service string
 	Kind    carawayspread.Kind
-	Address string // IP number and port
+	Address string // IP address and port
 	Slots   int    // maximum concurrent requests; zero for the default
 }
 
--- a/knowledge.go
+++ b/knowledge.go
@@ -39,7 +39,7 @@
 	Body  []byte // opaque to all but the platform's adapter
 }
 
-// Knowledge is the state that a process has learnt from the platform's store and can pass on to a
+// Knowledge is the state that a process has learned from the platform's store and can pass on to a
 // peer.
 type Knowledge struct {
 	Routes    Document
--- a/placement.go
+++ b/placement.go
@@ -13,7 +13,7 @@
 	Arrived  time.Time
 	Deadline time.Time // the earlier of the caller's and the route's deadline
 	// TargetMissed says that the target has passed already, because the caller retries after a
-	// rejection.
+	// refusal.
 	TargetMissed bool
 	// Exclude holds the endpoints that must not get this request again.
 	Exclude map[EndpointID]bool
@@ -25,7 +25,7 @@
 	PrefilledBy EndpointID
 	// SingleEndpoint requires one endpoint for both prefill and decode.
 	SingleEndpoint bool
-	// Admitted says that the request was admitted before: it is not rejected for missing its target.
+	// Admitted says that the request was admitted before: it is not refused for missing its target.
 	Admitted bool
 }
 
@@ -54,13 +54,13 @@
 	ColdPrefillTime, WarmPrefillTime time.Duration
 }
 
-// Placer decides where requests run, and which are rejected because their target cannot be met. It
+// Placer decides where requests run, and which are refused because their target cannot be met. It
 // is safe for concurrent use.
 type Placer interface {
 	// SetEndpoints replaces the endpoints of a service.
 	SetEndpoints(service string, endpoints []Endpoint)
 	// Place chooses an endpoint, or returns an *Error that is marked as not run. With an error,
-	// the placement is the one that was rejected, if there was one.
+	// the placement is the one that was refused, if there was one.
 	Place(p PlacementRequest) (Placement, error)
 	// Sent records that a placement is carried out. The caller calls End of the returned tracker
 	// once.
--- a/usage.go
+++ b/usage.go
@@ -11,8 +11,8 @@
 // ErrFenced means that a call carried an outdated fencing token and had no effect.
 var ErrFenced = errors.New("a higher fencing token was seen")
 
-// UsageReport is the number of requests of each workspace that started to run in one window of true
-// time. Once a report is sent, the counts of its window never change.
+// UsageReport is the number of requests of each workspace that started to run in one window of
+// synchronized time. Once a report is sent, the counts of its window never change.
 type UsageReport struct {
 	Window int64 // number of the window, which begins at Window times the window length after the start of 1970
 	Counts map[string]uint64
