--- a/cmd/gateway/configuration_test.go
+++ b/cmd/gateway/configuration_test.go
@@ -120,7 +120,7 @@
 	link, err := relay.New(strings.TrimPrefix(server.URL, "http://"), carawayspread.SystemClock())
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(link.Close)
-	link.Narrow(narrow)
+	link.LimitBandwidth(narrow)
 	return link
 }
 
@@ -137,7 +137,7 @@
 	for p.sink.holds() != want {
 		_ = p.learner.Pull(context.Background(), other.link.Address(), carawayspread.ResourceRoutes)
 		if p.sink.holds() != want {
-			qt.Assert(t, time.Since(begun) < within, qt.IsTrue, qt.Commentf("not in force after %v, %d bytes", time.Since(begun), other.link.Answered()))
+			qt.Assert(t, time.Since(begun) < within, qt.IsTrue, qt.Commentf("not in force after %v, %d bytes", time.Since(begun), other.link.ResponseBytes()))
 		}
 	}
 }
@@ -154,7 +154,7 @@
 			from.take(t, 9, configuration(9, routes, "other"))
 			to.asks(t, from, "other", inForce)
 			qt.Check(t, to.sink.routing.Version(), qt.Equals, carawayspread.Version(9))
-			qt.Check(t, from.link.Answered() < changeBytes, qt.IsTrue, qt.Commentf("%d bytes", from.link.Answered()))
+			qt.Check(t, from.link.ResponseBytes() < changeBytes, qt.IsTrue, qt.Commentf("%d bytes", from.link.ResponseBytes()))
 		})
 	}
 }
@@ -168,7 +168,7 @@
 	from.take(t, 9, configuration(9, 2860, "other"))
 	to.asks(t, from, "other", inForce)
 	qt.Check(t, to.sink.routing.Len(), qt.Equals, 2860)
-	t.Logf("%d bytes", from.link.Answered())
+	t.Logf("%d bytes", from.link.ResponseBytes())
 }
 
 // whole bounds the time in which a process without a configuration has the largest
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -44,9 +44,9 @@
 }
 
 func run(c *cli.Context) error {
-	broken, draw := 0, schedule.Draw
+	broken, draw := 0, schedule.Generate
 	if c.Bool("stops") {
-		draw = schedule.DrawStops
+		draw = schedule.GenerateStops
 	}
 	for n := range uint64(max(1, c.Int("runs"))) {
 		found, err := soak(c.Context, c.App.Writer, c.String("gateway"), c.String("findings"), draw(c.Uint64("seed")+n, c.Duration("length")), c.Int("size"))
@@ -82,10 +82,10 @@
 		return nil, err
 	}
 	found := f.History().Breaches()
-	for _, err := range f.Failed() {
+	for _, err := range f.InjectionErrors() {
 		found = append(found, err.Error())
 	}
-	asked, served := f.History().Asked()
+	asked, served := f.History().RequestCounts()
 	fmt.Fprintf(out, "seed %d: %d faults, %d asked, %d served, %d broken\n", s.Seed(), len(s.Steps()), asked, served, len(found))
 	if len(found) == 0 {
 		return nil, trace.ConvertSystemError(os.RemoveAll(dir))
--- a/cmd/soak/soak_test.go
+++ b/cmd/soak/soak_test.go
@@ -25,7 +25,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var said strings.Builder
-			found, err := soak(t.Context(), &said, binary, dir, schedule.Draw(seed, length), size)
+			found, err := soak(t.Context(), &said, binary, dir, schedule.Generate(seed, length), size)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, found, qt.HasLen, 0, qt.Commentf("%s", said.String()))
 			t.Log(said.String())
@@ -39,7 +39,7 @@
 	const size, length, seed = 3, 14 * time.Second, 5010
 	dir := t.TempDir()
 	var said strings.Builder
-	found, err := soak(t.Context(), &said, gateway(t, dir), dir, schedule.DrawStops(seed, length), size)
+	found, err := soak(t.Context(), &said, gateway(t, dir), dir, schedule.GenerateStops(seed, length), size)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, found, qt.HasLen, 0, qt.Commentf("%s", said.String()))
 }
--- a/internal/process/confsync/large_test.go
+++ b/internal/process/confsync/large_test.go
@@ -31,14 +31,14 @@
 	link, err := relay.New(servePeer(t, provider), carawayspread.SystemClock())
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(link.Close)
-	link.Narrow(linkRate)
+	link.LimitBandwidth(linkRate)
 
 	down := newMemoryLog(0)
 	down.set(true)
 	joiner := newSyncer(down, clock, WithPeers(func() []string { return []string{link.Address()} }))
 	for start := time.Now(); !joiner.Ready(); {
 		joiner.refresh(ctx)
-		qt.Assert(t, time.Since(start) < limit, qt.IsTrue, qt.Commentf("not ready after %v, %d bytes", time.Since(start), link.Answered()))
+		qt.Assert(t, time.Since(start) < limit, qt.IsTrue, qt.Commentf("not ready after %v, %d bytes", time.Since(start), link.ResponseBytes()))
 	}
 	qt.Check(t, joiner.Held().Version(), qt.Equals, carawayspread.Version(300))
 }
--- a/internal/process/confsync/prepare_test.go
+++ b/internal/process/confsync/prepare_test.go
@@ -81,14 +81,14 @@
 	link, err := relay.New(servePeer(t, provider), carawayspread.SystemClock())
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(link.Close)
-	link.Narrow(linkRate)
+	link.LimitBandwidth(linkRate)
 	down := newMemoryLog(0)
 	down.set(true)
 	joiner := newSyncer(down, clock, WithPeers(func() []string { return []string{link.Address()} }))
 	start := time.Now()
 	for rounds := 0; !joiner.Ready(); rounds++ {
 		joiner.refresh(context.Background())
-		qt.Assert(t, time.Since(start) < limit, qt.IsTrue, qt.Commentf("%d rounds, %d bytes", rounds, link.Answered()))
+		qt.Assert(t, time.Since(start) < limit, qt.IsTrue, qt.Commentf("%d rounds, %d bytes", rounds, link.ResponseBytes()))
 	}
 	qt.Check(t, time.Since(start) > defaultRoundTimeout, qt.IsTrue)
 }
--- a/internal/soak/fleet/fleet.go
+++ b/internal/soak/fleet/fleet.go
@@ -212,8 +212,8 @@
 	}
 }
 
-// Failed returns what went wrong with the injecting itself.
-func (f *Fleet) Failed() []error {
+// InjectionErrors returns what went wrong with the injecting itself.
+func (f *Fleet) InjectionErrors() []error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.failed
--- a/internal/soak/fleet/inject.go
+++ b/internal/soak/fleet/inject.go
@@ -75,9 +75,9 @@
 	case schedule.StoreDown:
 		f.hurt(history.Store, step.For, func() { f.store.Answer(http.StatusServiceUnavailable) }, func() { f.store.Answer(0) })
 	case schedule.StoreSilent:
-		f.hurt(history.Store, step.For, func() { f.storeBy.Set(relay.Silent) }, func() { f.storeBy.Set(relay.None) })
+		f.hurt(history.Store, step.For, func() { f.storeBy.SetFault(relay.Silent) }, func() { f.storeBy.SetFault(relay.None) })
 	case schedule.Narrow:
-		f.hurt(history.Store, step.For, func() { f.storeBy.Narrow(narrow) }, func() { f.storeBy.Narrow(0) })
+		f.hurt(history.Store, step.For, func() { f.storeBy.LimitBandwidth(narrow) }, func() { f.storeBy.LimitBandwidth(0) })
 	case schedule.StoreForgot:
 		f.store.Compact()
 	case schedule.Misbehave:
@@ -97,7 +97,7 @@
 		f.limit(step.Which, rates[step.Draw%uint64(len(rates))], step.For)
 	default:
 		p := f.pick(step.Which)
-		f.hurt(history.Hurt(p.worker.ID()), step.For, func() { p.by.Set(faults[step.Kind]) }, func() { p.by.Set(relay.None) })
+		f.hurt(history.Hurt(p.worker.ID()), step.For, func() { p.by.SetFault(faults[step.Kind]) }, func() { p.by.SetFault(relay.None) })
 	}
 	return nil
 }
--- a/internal/soak/history/history.go
+++ b/internal/soak/history/history.go
@@ -143,8 +143,8 @@
 	h.memory[process] = max(h.memory[process], megabytes)
 }
 
-// Asked returns how many requests there were, and how many of them were served.
-func (h *History) Asked() (asked, served int) {
+// RequestCounts returns how many requests there were, and how many of them were served.
+func (h *History) RequestCounts() (asked, served int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, a := range h.answers {
--- a/internal/soak/relay/relay.go
+++ b/internal/soak/relay/relay.go
@@ -64,23 +64,23 @@
 // Address returns IP number and port.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Set has the way fail so from now on.
-func (r *Relay) Set(fault Fault) {
+// SetFault has the way fail so from now on.
+func (r *Relay) SetFault(fault Fault) {
 	r.fault.Store(int32(fault))
 	if fault == Refused {
 		r.reset()
 	}
 }
 
-// Narrow bounds the bits a second of all answers together; zero ends the bound.
-func (r *Relay) Narrow(bits float64) {
+// LimitBandwidth bounds the bits a second of all answers together; zero ends the bound.
+func (r *Relay) LimitBandwidth(bits float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rate, r.free = bits, r.clock.Now()
 }
 
-// Answered returns the bytes of answers that were passed on.
-func (r *Relay) Answered() int64 { return r.answered.Load() }
+// ResponseBytes returns the bytes of answers that were passed on.
+func (r *Relay) ResponseBytes() int64 { return r.answered.Load() }
 
 // Close ends the relay and its connections.
 func (r *Relay) Close() {
--- a/internal/soak/schedule/schedule.go
+++ b/internal/soak/schedule/schedule.go
@@ -86,12 +86,12 @@
 	idle  int
 }
 
-// Draw returns the schedule of a seed, for so long.
-func Draw(seed uint64, length time.Duration) *Schedule { return draw(seed, length, kinds) }
+// Generate returns the schedule of a seed, for so long.
+func Generate(seed uint64, length time.Duration) *Schedule { return draw(seed, length, kinds) }
 
-// DrawStops returns a schedule in which most faults are orders to end, and workers that
+// GenerateStops returns a schedule in which most faults are orders to end, and workers that
 // hold requests.
-func DrawStops(seed uint64, length time.Duration) *Schedule { return draw(seed, length, stops) }
+func GenerateStops(seed uint64, length time.Duration) *Schedule { return draw(seed, length, stops) }
 
 func draw(seed uint64, length time.Duration, often []Kind) *Schedule {
 	s := &Schedule{seed: seed}
