--- a/internal/measure/engine_test.go
+++ b/internal/measure/engine_test.go
@@ -63,26 +63,26 @@
 
 // hardware gives the speeds of one kind of endpoint.
 type hardware struct {
-	prefillRate  float64       // prompt tokens a second
-	base, step   time.Duration // gap between tokens: base + step for each running answer
-	slots        int
-	stall        float64 // part of the decode speed lost while a prompt is prefilled
-	mixedPrefill float64 // prefill speed while answers run
-	prefixes     int     // prompt prefixes that the cache holds
-	perToken     time.Duration
-	down         time.Duration // seconds lost to a role change
+	prefillRate           float64       // prompt tokens a second
+	baseGap, gapPerAnswer time.Duration // gap between tokens: base + step for each running answer
+	slots                 int
+	decodeLoss            float64 // part of the decode speed lost while a prompt is prefilled
+	mixedPrefillFactor    float64 // prefill speed while answers run
+	cachedPrefixes        int     // prompt prefixes that the cache holds
+	transferPerToken      time.Duration
+	changeDowntime        time.Duration // seconds lost to a role change
 }
 
 // gpu prefills in chunks of 2,048 tokens, 256 ms each: a batch whose step takes
 // 40 ms decodes at 40/296 of its speed meanwhile, and the chunk at 256/296.
 var gpu = hardware{
-	prefillRate: 8000, base: 12 * time.Millisecond, step: 700 * time.Microsecond, slots: 64,
-	stall: 0.85, mixedPrefill: 0.85, prefixes: 12,
-	perToken: 16 * time.Microsecond, // 160 KB of KV cache at 10 GB/s
-	down:     8 * time.Second,
+	prefillRate: 8000, baseGap: 12 * time.Millisecond, gapPerAnswer: 700 * time.Microsecond, slots: 64,
+	decodeLoss: 0.85, mixedPrefillFactor: 0.85, cachedPrefixes: 12,
+	transferPerToken: 16 * time.Microsecond, // 160 KB of KV cache at 10 GB/s
+	changeDowntime:   8 * time.Second,
 }
 
-var records = hardware{prefillRate: 1e9, base: time.Millisecond, step: 100 * time.Microsecond, slots: 16, mixedPrefill: 1, prefixes: 1}
+var records = hardware{prefillRate: 1e9, baseGap: time.Millisecond, gapPerAnswer: 100 * time.Microsecond, slots: 16, mixedPrefillFactor: 1, cachedPrefixes: 1}
 
 // engine is a fake endpoint. Between two events all of its answers decode at
 // one rate, so that a single counter of tokens tells when each one ends.
@@ -93,21 +93,21 @@
 	speed    float64 // 1 is full speed
 	role     carawayspread.Role
 	changing bool
-	next     carawayspread.Role // while changing
-
-	touched  time.Duration // when counters were last brought up to date
-	decoded  float64       // tokens that an answer running since the start would have
-	prompts  []*call       // by priority; the first one is prefilled, until one more urgent arrives
-	left     float64       // prompt tokens left of the first
-	running  byEnd
-	waiting  []*call // for a slot
-	cache    *lru.Cache[uint64, bool]
-	epoch    int    // outdates events set earlier
-	onChange func() // runs once no prompt is left
+	nextRole carawayspread.Role // while changing
+
+	updatedAt      time.Duration // when counters were last brought up to date
+	decodedTokens  float64       // tokens that an answer running since the start would have
+	prompts        []*call       // by priority; the first one is prefilled, until one more urgent arrives
+	promptLeft     float64       // prompt tokens left of the first
+	running        byEnd
+	waiting        []*call // for a slot
+	cache          *lru.Cache[uint64, bool]
+	planGeneration int    // outdates events set earlier
+	onPromptsDone  func() // runs once no prompt is left
 }
 
 func newEngine(s *sim, id carawayspread.EndpointID, hw hardware) *engine {
-	cache, _ := lru.New[uint64, bool](hw.prefixes)
+	cache, _ := lru.New[uint64, bool](hw.cachedPrefixes)
 	return &engine{sim: s, id: id, hw: hw, speed: 1, role: carawayspread.RoleBoth, cache: cache}
 }
 
@@ -125,88 +125,88 @@
 }
 
 // gap returns the time between two tokens now.
-func (e *engine) gap() float64 {
-	g := (e.hw.base + time.Duration(len(e.running))*e.hw.step).Seconds() / e.speed
+func (e *engine) tokenGap() float64 {
+	g := (e.hw.baseGap + time.Duration(len(e.running))*e.hw.gapPerAnswer).Seconds() / e.speed
 	if len(e.prompts) > 0 {
-		g /= 1 - e.hw.stall
+		g /= 1 - e.hw.decodeLoss
 	}
 	return g
 }
 
-func (e *engine) rate() float64 {
+func (e *engine) currentPrefillRate() float64 {
 	if len(e.running) > 0 {
-		return e.hw.prefillRate * e.speed * e.hw.mixedPrefill
+		return e.hw.prefillRate * e.speed * e.hw.mixedPrefillFactor
 	}
 	return e.hw.prefillRate * e.speed
 }
 
 // touch brings the counters up to date; it comes before every change.
-func (e *engine) touch() {
-	dt := (e.now - e.touched).Seconds()
-	e.touched = e.now
+func (e *engine) advance() {
+	dt := (e.now - e.updatedAt).Seconds()
+	e.updatedAt = e.now
 	if len(e.prompts) > 0 {
-		e.left -= dt * e.rate()
+		e.promptLeft -= dt * e.currentPrefillRate()
 	}
 	if len(e.running) > 0 {
-		e.decoded += dt / e.gap()
+		e.decodedTokens += dt / e.tokenGap()
 	}
 }
 
 // plan sets the event of what ends next; it comes after every change.
-func (e *engine) plan() {
-	e.epoch++
+func (e *engine) scheduleNext() {
+	e.planGeneration++
 	next := -1.0
 	if len(e.prompts) > 0 {
-		next = max(0, e.left/e.rate())
+		next = max(0, e.promptLeft/e.currentPrefillRate())
 	}
 	if len(e.running) > 0 {
-		if t := max(0, (e.running[0].endsAt-e.decoded)*e.gap()); next < 0 || t < next {
+		if t := max(0, (e.running[0].endsAt-e.decodedTokens)*e.tokenGap()); next < 0 || t < next {
 			next = t
 		}
 	}
 	if next < 0 {
 		return
 	}
-	epoch := e.epoch
+	generation := e.planGeneration
 	e.in(time.Duration(next*1e9)+1, func() {
-		if epoch == e.epoch {
-			e.touch()
-			e.ended()
+		if generation == e.planGeneration {
+			e.advance()
+			e.completeDue()
 		}
 	})
 }
 
-const almost = 1e-4 // tokens
+const tokenTolerance = 1e-4 // tokens
 
-func (e *engine) ended() {
+func (e *engine) completeDue() {
 	var done []*call
-	for len(e.running) > 0 && e.running[0].endsAt <= e.decoded+almost {
+	for len(e.running) > 0 && e.running[0].endsAt <= e.decodedTokens+tokenTolerance {
 		c := heap.Pop(&e.running).(*call)
-		c.left = 0
+		c.remaining = 0
 		done = append(done, c)
 	}
 	var prefilled *call
-	if len(e.prompts) > 0 && e.left <= almost {
+	if len(e.prompts) > 0 && e.promptLeft <= tokenTolerance {
 		prefilled = e.prompts[0]
 		e.prompts = e.prompts[1:]
-		e.startPrompt()
+		e.startNextPrompt()
 	}
 	for len(e.waiting) > 0 && len(e.running) < e.hw.slots {
-		e.decode(e.waiting[0])
+		e.startDecode(e.waiting[0])
 		e.waiting = e.waiting[1:]
 	}
 	if prefilled != nil {
 		e.cache.Add(prefilled.prefix, true)
 		prefilled.firstToken(e)
 	}
-	e.plan()
+	e.scheduleNext()
 	for _, c := range done {
 		c.finish(e)
 	}
-	if e.onChange != nil && len(e.prompts) == 0 {
-		off := e.onChange
-		e.onChange = nil
-		off()
+	if e.onPromptsDone != nil && len(e.prompts) == 0 {
+		startDowntime := e.onPromptsDone
+		e.onPromptsDone = nil
+		startDowntime()
 	}
 }
 
@@ -215,40 +215,40 @@
 	if e.changing || e.role == carawayspread.RoleDecode {
 		return false
 	}
-	e.touch()
-	c.toPrefill = c.prompt
+	e.advance()
+	c.prefillTokens = c.prompt
 	if e.cache.Contains(c.prefix) {
-		c.toPrefill -= c.shared
+		c.prefillTokens -= c.shared
 	}
-	c.left = c.toPrefill
+	c.remaining = c.prefillTokens
 	if len(e.prompts) > 0 {
-		e.prompts[0].left = e.left
+		e.prompts[0].remaining = e.promptLeft
 	}
 	at := len(e.prompts)
 	for at > 0 && c.priority < e.prompts[at-1].priority {
 		at--
 	}
 	e.prompts = slices.Insert(e.prompts, at, c)
-	e.left = e.prompts[0].left
-	e.plan()
+	e.promptLeft = e.prompts[0].remaining
+	e.scheduleNext()
 	return true
 }
 
-func (e *engine) startPrompt() {
+func (e *engine) startNextPrompt() {
 	if len(e.prompts) == 0 {
 		return
 	}
-	e.left = e.prompts[0].left
+	e.promptLeft = e.prompts[0].remaining
 }
 
 // resume takes an answer whose KV cache has arrived.
-func (e *engine) resume(c *call) bool {
+func (e *engine) resumeDecode(c *call) bool {
 	if e.changing || e.role == carawayspread.RolePrefill {
 		return false
 	}
-	e.touch()
+	e.advance()
 	e.admit(c)
-	e.plan()
+	e.scheduleNext()
 	return true
 }
 
@@ -257,22 +257,22 @@
 		e.waiting = append(e.waiting, c)
 		return
 	}
-	e.decode(c)
+	e.startDecode(c)
 }
 
-func (e *engine) decode(c *call) {
-	c.endsAt = e.decoded + c.left
+func (e *engine) startDecode(c *call) {
+	c.endsAt = e.decodedTokens + c.remaining
 	heap.Push(&e.running, c)
 }
 
 // change carries out a role change: no new work, running answers move with
 // their KV cache, the prompt under way ends, and then the engine is away.
-func (e *engine) change(to carawayspread.Role) {
-	e.touch()
-	e.changing, e.next = true, to
+func (e *engine) changeRole(to carawayspread.Role) {
+	e.advance()
+	e.changing, e.nextRole = true, to
 	moved := append([]*call{}, e.waiting...)
 	for _, c := range e.running {
-		c.left = max(0, c.endsAt-e.decoded)
+		c.remaining = max(0, c.endsAt-e.decodedTokens)
 		moved = append(moved, c)
 	}
 	e.running, e.waiting = nil, nil
@@ -281,20 +281,20 @@
 		unstarted = append(unstarted, e.prompts[1:]...)
 		e.prompts = e.prompts[:1:1]
 	}
-	e.onChange = func() {
-		e.in(e.hw.down, func() { e.role, e.changing = to, false })
+	e.onPromptsDone = func() {
+		e.in(e.hw.changeDowntime, func() { e.role, e.changing = to, false })
 	}
 	if len(e.prompts) == 0 {
-		off := e.onChange
-		e.onChange = nil
-		off()
+		startDowntime := e.onPromptsDone
+		e.onPromptsDone = nil
+		startDowntime()
 	}
-	e.plan()
+	e.scheduleNext()
 	for _, c := range moved {
-		c.move(e)
+		c.handOff(e)
 	}
 	for _, c := range unstarted {
-		c.refusedBy(e)
+		c.refuseUnstarted(e)
 	}
 }
 
--- a/internal/measure/entry_test.go
+++ b/internal/measure/entry_test.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	network     = time.Millisecond
-	reportEvery = time.Second
-	reportLag   = time.Second
-	chunk       = 256.0 // prompt tokens to whose time the latency of a prefill is scaled
+	networkDelay          = time.Millisecond
+	reportInterval        = time.Second
+	reportDelay           = time.Second
+	referencePromptTokens = 256.0 // prompt tokens to whose time the latency of a prefill is scaled
 )
 
 // call is one request with its caller.
@@ -36,29 +36,29 @@
 	prefix         uint64
 	priority       int64 // engines prefill the lowest first
 
-	toPrefill, left, endsAt float64       // kept by the engine
-	next, sent              time.Duration // when the scheduler and the router let it go
-	first, last             time.Duration
-	place                   bool // holds a place of the limiter
-	refused, failed         bool
+	prefillTokens, remaining, endsAt float64       // kept by the engine
+	scheduledAt, sentAt              time.Duration // when the scheduler and the router let it go
+	firstTokenAt, endedAt            time.Duration
+	hasSlot                          bool // holds a place of the limiter
+	refused, failed                  bool
 }
 
 // entry is the part of one entry process that serves one service.
 type entry struct {
 	*sim
-	run      *run
-	sched    carawayspread.Scheduler
-	router   carawayspread.Router
-	ejector  carawayspread.Ejector
-	budget   carawayspread.RetryBudget // nil allows all
-	limiters map[carawayspread.EndpointID]carawayspread.Limiter
-	inflight map[carawayspread.EndpointID]int
-	known    map[carawayspread.EndpointID]carawayspread.EndpointReport
-	engines  map[carawayspread.EndpointID]*engine
-	calls    map[*carawayspread.Job]*call
-	again    []*call // refused by an engine, to be sent to another
-	handOver []*call // prefilled, waiting for an engine that decodes
-	queued   map[int]*carawayspread.Cost
+	run         *run
+	scheduler   carawayspread.Scheduler
+	router      carawayspread.Router
+	ejector     carawayspread.Ejector
+	retryBudget carawayspread.RetryBudget // nil allows all
+	limiters    map[carawayspread.EndpointID]carawayspread.Limiter
+	inflight    map[carawayspread.EndpointID]int
+	reports     map[carawayspread.EndpointID]carawayspread.EndpointReport
+	engines     map[carawayspread.EndpointID]*engine
+	calls       map[*carawayspread.Job]*call
+	retries     []*call // refused by an engine, to be sent to another
+	handoffs    []*call // prefilled, waiting for an engine that decodes
+	queued      map[int]*carawayspread.Cost
 }
 
 func newEntry(r *run, n int, engines []*engine) *entry {
@@ -67,18 +67,18 @@
 	}
 	e := &entry{
 		sim: r.sim, run: r,
-		sched:    build(carawayspread.Schedulers, r.variant.scheduler, env),
-		router:   build(carawayspread.Routers, r.variant.router, env),
-		ejector:  build(carawayspread.Ejectors, r.variant.ejector, env),
-		limiters: map[carawayspread.EndpointID]carawayspread.Limiter{},
-		inflight: map[carawayspread.EndpointID]int{},
-		known:    map[carawayspread.EndpointID]carawayspread.EndpointReport{},
-		engines:  map[carawayspread.EndpointID]*engine{},
-		calls:    map[*carawayspread.Job]*call{},
-		queued:   map[int]*carawayspread.Cost{},
+		scheduler: build(carawayspread.Schedulers, r.variant.scheduler, env),
+		router:    build(carawayspread.Routers, r.variant.router, env),
+		ejector:   build(carawayspread.Ejectors, r.variant.ejector, env),
+		limiters:  map[carawayspread.EndpointID]carawayspread.Limiter{},
+		inflight:  map[carawayspread.EndpointID]int{},
+		reports:   map[carawayspread.EndpointID]carawayspread.EndpointReport{},
+		engines:   map[carawayspread.EndpointID]*engine{},
+		calls:     map[*carawayspread.Job]*call{},
+		queued:    map[int]*carawayspread.Cost{},
 	}
-	if r.variant.budget {
-		e.budget = retrybudget.New(r.sim)
+	if r.variant.retryBudget {
+		e.retryBudget = retrybudget.New(r.sim)
 	}
 	endpoints := make([]carawayspread.Endpoint, 0, len(engines))
 	ids := make([]carawayspread.EndpointID, 0, len(engines))
@@ -87,21 +87,21 @@
 		ids = append(ids, g.id)
 		e.engines[g.id] = g
 		e.limiters[g.id] = build(carawayspread.Limiters, r.variant.limiter, env)
-		e.known[g.id] = g.report()
+		e.reports[g.id] = g.report()
 	}
 	e.router.SetEndpoints(endpoints)
 	e.ejector.SetEndpoints(ids)
 	for _, g := range engines {
 		e.router.Reported(g.report())
 	}
-	e.capacity()
+	e.updateCapacity()
 	for _, g := range engines {
-		r.every(reportEvery, func() {
+		r.every(reportInterval, func() {
 			report := g.report()
-			r.in(reportLag, func() { e.known[g.id] = report; e.router.Reported(report) })
+			r.in(reportDelay, func() { e.reports[g.id] = report; e.router.Reported(report) })
 		})
 	}
-	r.every(reportEvery, func() { e.capacity(); e.pump() })
+	r.every(reportInterval, func() { e.updateCapacity(); e.dispatch() })
 	return e
 }
 
@@ -112,32 +112,32 @@
 	return factory(env)
 }
 
-func (e *entry) capacity() {
+func (e *entry) updateCapacity() {
 	slots := 0
 	for id, l := range e.limiters {
-		if e.known[id].Role != carawayspread.RoleDecode {
+		if e.reports[id].Role != carawayspread.RoleDecode {
 			slots += min(l.Limit(), 1<<20)
 		}
 	}
-	e.sched.Capacity(slots)
+	e.scheduler.Capacity(slots)
 }
 
 // arrive takes a request from its caller.
 func (e *entry) arrive(c *call) {
 	c.entry = e
-	if e.run.variant.urgent {
+	if e.run.variant.deadlinePriority {
 		c.priority = c.job.Class.Target().Latest(c.job.Arrived).UnixNano()
 	}
-	if err := e.sched.Offer(c.job); err != nil {
+	if err := e.scheduler.Offer(c.job); err != nil {
 		e.refuse(c)
 		return
 	}
 	e.calls[c.job] = c
-	e.wait(c, 1)
-	e.pump()
+	e.addQueued(c, 1)
+	e.dispatch()
 }
 
-func (e *entry) wait(c *call, sign int) {
+func (e *entry) addQueued(c *call, sign int) {
 	if e.queued[c.class] == nil {
 		e.queued[c.class] = &carawayspread.Cost{}
 	}
@@ -147,46 +147,46 @@
 
 func (e *entry) refuse(c *call) {
 	c.refused = true
-	c.last = e.now
-	e.run.over(c)
+	c.endedAt = e.now
+	e.run.recordEnd(c)
 }
 
 // pump sends what can be sent now.
-func (e *entry) pump() {
-	e.handOver = slices.DeleteFunc(e.handOver, func(c *call) bool { return e.place(c, carawayspread.RolePrefill) })
-	e.again = slices.DeleteFunc(e.again, func(c *call) bool { return e.place(c, carawayspread.RoleDecode) })
+func (e *entry) dispatch() {
+	e.handoffs = slices.DeleteFunc(e.handoffs, func(c *call) bool { return e.tryPlace(c, carawayspread.RolePrefill) })
+	e.retries = slices.DeleteFunc(e.retries, func(c *call) bool { return e.tryPlace(c, carawayspread.RoleDecode) })
 	for {
-		for _, r := range e.sched.Expired() {
-			e.wait(e.calls[r.Job], -1)
+		for _, r := range e.scheduler.Expired() {
+			e.addQueued(e.calls[r.Job], -1)
 			e.refuse(e.calls[r.Job])
 		}
-		job := e.sched.Next()
+		job := e.scheduler.Next()
 		if job == nil {
 			return
 		}
 		c := e.calls[job]
-		c.next = e.now
-		if e.place(c, carawayspread.RoleDecode) {
-			e.wait(c, -1)
+		c.scheduledAt = e.now
+		if e.tryPlace(c, carawayspread.RoleDecode) {
+			e.addQueued(c, -1)
 		} else {
-			e.sched.Requeue(job)
+			e.scheduler.Requeue(job)
 		}
 	}
 }
 
 // place sends a call to an engine whose role is not the one named. An answer
 // that has begun goes before the limit: it can't be refused any more.
-func (e *entry) place(c *call, not carawayspread.Role) bool {
+func (e *entry) tryPlace(c *call, excludedRole carawayspread.Role) bool {
 	job := *c.job
 	job.Phase = carawayspread.RolePrefill
-	if not == carawayspread.RolePrefill {
+	if excludedRole == carawayspread.RolePrefill {
 		job.Phase = carawayspread.RoleDecode
 	}
 	choice := e.router.Pick(&job, func(id carawayspread.EndpointID) carawayspread.Availability {
-		switch k := e.known[id]; {
-		case k.Role == not || k.Draining || !e.ejector.Allowed(id):
+		switch k := e.reports[id]; {
+		case k.Role == excludedRole || k.Draining || !e.ejector.Allowed(id):
 			return carawayspread.AvailabilityExcluded
-		case not == carawayspread.RoleDecode && e.inflight[id] >= e.limiters[id].Limit():
+		case excludedRole == carawayspread.RoleDecode && e.inflight[id] >= e.limiters[id].Limit():
 			return carawayspread.AvailabilityBusy
 		}
 		return carawayspread.AvailabilityFree
@@ -194,53 +194,53 @@
 	if choice.Endpoint == "" {
 		return false
 	}
-	c.place = e.limiters[choice.Endpoint].Acquire()
+	c.hasSlot = e.limiters[choice.Endpoint].Acquire()
 	e.ejector.Sent(choice.Endpoint)
-	e.send(c, e.engines[choice.Endpoint], not)
+	e.send(c, e.engines[choice.Endpoint], excludedRole)
 	return true
 }
 
-func (e *entry) send(c *call, g *engine, not carawayspread.Role) {
+func (e *entry) send(c *call, g *engine, excludedRole carawayspread.Role) {
 	e.inflight[g.id]++
 	e.router.Sent(g.id, c.job)
-	c.sent = e.now
-	delay, take := network, g.submit
-	if not == carawayspread.RolePrefill {
-		delay += time.Duration(c.prompt) * g.hw.perToken
-		take = g.resume
+	c.sentAt = e.now
+	delay, submit := networkDelay, g.submit
+	if excludedRole == carawayspread.RolePrefill {
+		delay += time.Duration(c.prompt) * g.hw.transferPerToken
+		submit = g.resumeDecode
 	}
 	e.in(delay, func() {
-		if take(c) {
+		if submit(c) {
 			return
 		}
 		// The report was late: the sidecar refuses, and nothing ran.
-		e.left(c, g, 0, carawayspread.OutcomeRefused)
-		e.known[g.id] = g.report()
-		if not == carawayspread.RolePrefill {
-			e.handOver = append(e.handOver, c)
+		e.endAttempt(c, g, 0, carawayspread.OutcomeRefused)
+		e.reports[g.id] = g.report()
+		if excludedRole == carawayspread.RolePrefill {
+			e.handoffs = append(e.handoffs, c)
 		} else {
 			e.retry(c)
 		}
-		e.pump()
+		e.dispatch()
 	})
 }
 
 func (e *entry) retry(c *call) {
-	if e.budget != nil && !e.budget.Allow() {
+	if e.retryBudget != nil && !e.retryBudget.Allow() {
 		c.failed = true
-		c.last = e.now
-		e.sched.Done(c.job, carawayspread.JobResult{})
-		e.run.over(c)
+		c.endedAt = e.now
+		e.scheduler.Done(c.job, carawayspread.JobResult{})
+		e.run.recordEnd(c)
 		return
 	}
-	e.again = append(e.again, c)
+	e.retries = append(e.retries, c)
 }
 
 // left ends one attempt, with its latency where one was measured.
-func (e *entry) left(c *call, g *engine, latency time.Duration, outcome carawayspread.Outcome) {
+func (e *entry) endAttempt(c *call, g *engine, latency time.Duration, outcome carawayspread.Outcome) {
 	e.inflight[g.id]--
 	e.router.Ended(g.id, c.job, outcome)
-	if c.place {
+	if c.hasSlot {
 		e.limiters[g.id].Release(latency, outcome)
 	}
 	e.ejector.Observe(g.id, latency, outcome)
@@ -248,51 +248,51 @@
 
 // firstToken is called by the engine that prefilled the prompt.
 func (c *call) firstToken(g *engine) {
-	c.first = c.entry.now
-	c.left = c.answer
-	c.entry.run.worked(c, c.toPrefill)
+	c.firstTokenAt = c.entry.now
+	c.remaining = c.answer
+	c.entry.run.recordPrefill(c, c.prefillTokens)
 	if g.role != carawayspread.RolePrefill && !g.changing {
 		g.admit(c)
 		return
 	}
-	c.move(g)
+	c.handOff(g)
 }
 
 // move hands a prefilled call from one engine to another.
-func (c *call) move(g *engine) {
+func (c *call) handOff(g *engine) {
 	e := c.entry
 	latency := time.Duration(0)
 	if g.role == carawayspread.RolePrefill {
-		latency = time.Duration(float64(e.now-c.sent) * chunk / c.prompt)
+		latency = time.Duration(float64(e.now-c.sentAt) * referencePromptTokens / c.prompt)
 	}
-	e.left(c, g, latency, carawayspread.OutcomeServed)
-	e.handOver = append(e.handOver, c)
-	e.in(0, e.pump)
+	e.endAttempt(c, g, latency, carawayspread.OutcomeServed)
+	e.handoffs = append(e.handoffs, c)
+	e.in(0, e.dispatch)
 }
 
-func (c *call) refusedBy(g *engine) {
-	c.entry.left(c, g, 0, carawayspread.OutcomeRefused)
-	c.entry.again = append(c.entry.again, c)
-	c.entry.in(0, c.entry.pump)
+func (c *call) refuseUnstarted(g *engine) {
+	c.entry.endAttempt(c, g, 0, carawayspread.OutcomeRefused)
+	c.entry.retries = append(c.entry.retries, c)
+	c.entry.in(0, c.entry.dispatch)
 }
 
 // finish is called by the engine that decoded the last token.
 func (c *call) finish(g *engine) {
 	e := c.entry
-	c.last = e.now
-	gap := (c.last - c.first) / time.Duration(c.answer)
+	c.endedAt = e.now
+	gap := (c.endedAt - c.firstTokenAt) / time.Duration(c.answer)
 	if e.run.fleet.kinds[c.class].plain {
-		gap = c.last - c.sent
+		gap = c.endedAt - c.sentAt
 	}
-	e.left(c, g, gap, carawayspread.OutcomeServed)
-	if e.budget != nil {
-		e.budget.Succeeded()
+	e.endAttempt(c, g, gap, carawayspread.OutcomeServed)
+	if e.retryBudget != nil {
+		e.retryBudget.Succeeded()
 	}
-	e.sched.Done(c.job, carawayspread.JobResult{
-		Cost:       carawayspread.Cost{Prefill: int(c.toPrefill), Decode: int(c.answer)},
-		FirstToken: c.first - c.next, Took: c.last - c.next,
+	e.scheduler.Done(c.job, carawayspread.JobResult{
+		Cost:       carawayspread.Cost{Prefill: int(c.prefillTokens), Decode: int(c.answer)},
+		FirstToken: c.firstTokenAt - c.scheduledAt, Took: c.endedAt - c.scheduledAt,
 	})
 	delete(e.calls, c.job)
-	e.run.over(c)
-	e.pump()
+	e.run.recordEnd(c)
+	e.dispatch()
 }
--- a/internal/measure/result_test.go
+++ b/internal/measure/result_test.go
@@ -12,58 +12,58 @@
 
 // result is what the callers of one run received.
 type result struct {
-	fleet   fleet
-	variant string
-	changes int
-	classes []tally
-	byWork  map[string]*tally // by workspace
-	wasted  float64           // tokens of answers that missed
-	worked  float64
+	fleet        fleet
+	variant      string
+	changes      int
+	classes      []tally
+	byWorkspace  map[string]*tally // by workspace
+	wastedTokens float64           // tokens of answers that missed
+	totalTokens  float64
 }
 
 // tally counts requests.
 type tally struct {
 	offered, good, refused, failed int
-	first, gaps                    []float64 // seconds
-	refusals                       []float64 // seconds until refused
-	prompts, saved                 float64   // shared tokens and those found in a cache
+	firstTokenTimes, tokenGaps     []float64 // seconds
+	refusalTimes                   []float64 // seconds until refused
+	sharedTokens, cachedTokens     float64   // shared tokens and those found in a cache
 }
 
 func (t tally) goodput() float64 { return float64(t.good) / float64(max(1, t.offered)) }
 
 func newResult(f fleet, v variant) result {
-	return result{fleet: f, variant: v.name, classes: make([]tally, len(f.kinds)), byWork: map[string]*tally{}}
+	return result{fleet: f, variant: v.name, classes: make([]tally, len(f.kinds)), byWorkspace: map[string]*tally{}}
 }
 
-func (r *result) tallies(c *call) (class, workspace *tally) {
-	w := r.byWork[c.job.Workspace]
+func (r *result) talliesOf(c *call) (class, workspace *tally) {
+	w := r.byWorkspace[c.job.Workspace]
 	if w == nil {
 		w = &tally{}
-		r.byWork[c.job.Workspace] = w
+		r.byWorkspace[c.job.Workspace] = w
 	}
 	return &r.classes[c.class], w
 }
 
-func (r *result) offered(c *call) {
-	class, workspace := r.tallies(c)
+func (r *result) countOffered(c *call) {
+	class, workspace := r.talliesOf(c)
 	class.offered++
 	workspace.offered++
 }
 
-func (r *result) prefilled(c *call, tokens float64) {
-	class, _ := r.tallies(c)
-	class.prompts += c.shared
-	class.saved += c.prompt - tokens
+func (r *result) countPrefill(c *call, tokens float64) {
+	class, _ := r.talliesOf(c)
+	class.sharedTokens += c.shared
+	class.cachedTokens += c.prompt - tokens
 }
 
 // hits returns the part of shared tokens that caches held so far.
-func (r *result) hits(class int) float64 {
+func (r *result) cacheHitRatio(class int) float64 {
 	t := r.classes[class]
-	return t.saved / max(1, t.prompts)
+	return t.cachedTokens / max(1, t.sharedTokens)
 }
 
 func (r *result) add(c *call) {
-	class, workspace := r.tallies(c)
+	class, workspace := r.talliesOf(c)
 	arrived := c.job.Arrived.Sub(epoch)
 	switch {
 	case c.failed:
@@ -71,24 +71,24 @@
 		return
 	case c.refused:
 		class.refused++
-		class.refusals = append(class.refusals, (c.last - arrived).Seconds())
+		class.refusalTimes = append(class.refusalTimes, (c.endedAt - arrived).Seconds())
 		return
 	}
-	tokens := c.toPrefill + c.answer
-	r.worked += tokens
-	gap := (c.last - c.first).Seconds() / max(1, c.answer)
-	class.first = append(class.first, (c.first - arrived).Seconds())
-	class.gaps = append(class.gaps, gap)
-	if !meets(c.job.Class.Target(), c.first-arrived, c.last-arrived, gap) {
-		r.wasted += tokens
+	tokens := c.prefillTokens + c.answer
+	r.totalTokens += tokens
+	gap := (c.endedAt - c.firstTokenAt).Seconds() / max(1, c.answer)
+	class.firstTokenTimes = append(class.firstTokenTimes, (c.firstTokenAt - arrived).Seconds())
+	class.tokenGaps = append(class.tokenGaps, gap)
+	if !meetsTarget(c.job.Class.Target(), c.firstTokenAt-arrived, c.endedAt-arrived, gap) {
+		r.wastedTokens += tokens
 		return
 	}
 	class.good++
 	workspace.good++
 }
 
-func meets(t carawayspread.Target, first, whole time.Duration, gap float64) bool {
-	return (t.FirstToken() == 0 || first <= t.FirstToken()) &&
+func meetsTarget(t carawayspread.Target, firstToken, whole time.Duration, gap float64) bool {
+	return (t.FirstToken() == 0 || firstToken <= t.FirstToken()) &&
 		(t.Whole() == 0 || whole <= t.Whole()) &&
 		(t.BetweenTokens() == 0 || gap <= t.BetweenTokens().Seconds())
 }
@@ -105,10 +105,10 @@
 		sum.good += t.good
 		sum.refused += t.refused
 		sum.failed += t.failed
-		sum.refusals = append(sum.refusals, t.refusals...)
+		sum.refusalTimes = append(sum.refusalTimes, t.refusalTimes...)
 		if !r.fleet.kinds[k].plain {
-			sum.first = append(sum.first, t.first...)
-			sum.gaps = append(sum.gaps, t.gaps...)
+			sum.firstTokenTimes = append(sum.firstTokenTimes, t.firstTokenTimes...)
+			sum.tokenGaps = append(sum.tokenGaps, t.tokenGaps...)
 		}
 	}
 	return sum
@@ -116,7 +116,7 @@
 
 // work returns the part of the offered work of the engines, by its cost, whose
 // answers met their target.
-func (r result) work() float64 {
+func (r result) workGoodput() float64 {
 	var offered, good float64
 	for k, t := range r.classes {
 		if !r.fleet.kinds[k].plain {
@@ -129,22 +129,22 @@
 
 // jain returns Jain's index over the parts of their requests that workspaces
 // got answered in time.
-func (r result) jain() float64 {
+func (r result) jainIndex() float64 {
 	var sum, squares float64
-	for _, t := range r.byWork {
+	for _, t := range r.byWorkspace {
 		sum += t.goodput()
 		squares += t.goodput() * t.goodput()
 	}
 	if squares == 0 {
 		return 0
 	}
-	return sum * sum / squares / float64(len(r.byWork))
+	return sum * sum / squares / float64(len(r.byWorkspace))
 }
 
 // others returns the goodput of all workspaces but the first.
-func (r result) others() float64 {
+func (r result) otherGoodput() float64 {
 	var sum tally
-	for name, t := range r.byWork {
+	for name, t := range r.byWorkspace {
 		if name != firstWorkspace {
 			sum.offered += t.offered
 			sum.good += t.good
@@ -175,13 +175,13 @@
 func (r result) row() string {
 	var b strings.Builder
 	all := r.all(true)
-	fmt.Fprintf(&b, "| %-22s | %5.1f | %5.1f |", r.variant, 100*all.goodput(), 100*r.work())
+	fmt.Fprintf(&b, "| %-22s | %5.1f | %5.1f |", r.variant, 100*all.goodput(), 100*r.workGoodput())
 	for _, t := range r.classes {
 		fmt.Fprintf(&b, " %9.1f |", 100*t.goodput())
 	}
 	fmt.Fprintf(&b, " %6.1f | %7d | %5.2f / %5.2f / %5.2f | %5.1f / %6.1f | %6.1f%% | %8.3f | %.3f | %5.1f%% |",
-		100*r.others(), r.changes, percentile(all.first, .5), percentile(all.first, .95), percentile(all.first, .99),
-		1000*percentile(all.gaps, .5), 1000*percentile(all.gaps, .95),
-		100*float64(all.refused)/float64(all.offered), percentile(all.refusals, .99), r.jain(), 100*r.wasted/max(1, r.worked))
+		100*r.otherGoodput(), r.changes, percentile(all.firstTokenTimes, .5), percentile(all.firstTokenTimes, .95), percentile(all.firstTokenTimes, .99),
+		1000*percentile(all.tokenGaps, .5), 1000*percentile(all.tokenGaps, .95),
+		100*float64(all.refused)/float64(all.offered), percentile(all.refusalTimes, .99), r.jainIndex(), 100*r.wastedTokens/max(1, r.totalTokens))
 	return b.String()
 }
--- a/internal/measure/run_test.go
+++ b/internal/measure/run_test.go
@@ -11,7 +11,7 @@
 
 const (
 	firstWorkspace = "workspace 0" // the hot one, where one is hot
-	planEvery      = 5 * time.Second
+	planInterval   = 5 * time.Second
 	decodeRate     = 1000 // tokens a second of a gpu at 40 ms between tokens
 )
 
@@ -20,7 +20,7 @@
 	class          carawayspread.Class
 	plain          bool // goes to the records service
 	prompt, answer float64
-	shared         float64 // tokens of the prompt that requests have in common
+	sharedPrefix   float64 // tokens of the prompt that requests have in common
 	prefixes       int     // different shared parts
 }
 
@@ -29,7 +29,7 @@
 	if k.plain {
 		return 0.006
 	}
-	return (k.prompt-k.shared/2)/gpu.prefillRate + k.answer/decodeRate
+	return (k.prompt-k.sharedPrefix/2)/gpu.prefillRate + k.answer/decodeRate
 }
 
 // fleet is one user's fleet and mixes.
@@ -39,12 +39,12 @@
 	workspaces                int
 	kinds                     []kind
 	mixes                     [][]float64 // each the part of the work that each kind brings
-	phase                     time.Duration
+	mixDuration               time.Duration
 	length                    time.Duration
-	busy                      float64 // offered work as a part of what the engines can do
-	hot                       float64 // times its share that workspace 0 sends in addition
-	slow                      float64 // speed of engine 0; zero means full
-	gone                      int     // engines withdrawn half-way
+	utilization               float64 // offered work as a part of what the engines can do
+	hotFactor                 float64 // times its share that workspace 0 sends in addition
+	slowSpeed                 float64 // speed of engine 0; zero means full
+	withdrawn                 int     // engines withdrawn half-way
 	seed                      uint64
 }
 
@@ -58,11 +58,11 @@
 			size = 1 // a few lookups a second for each worker
 		}
 		for at := time.Duration(0); ; {
-			mix := f.mixes[int(at/f.phase)%len(f.mixes)]
-			rate := f.busy * size * mix[k] / shape.cost()
-			next := at + time.Duration(rng.ExpFloat64()/rate/(1+f.hot/float64(f.workspaces))*1e9)
-			if next/f.phase > at/f.phase {
-				at = (at/f.phase + 1) * f.phase // the next mix starts: memoryless
+			mix := f.mixes[int(at/f.mixDuration)%len(f.mixes)]
+			rate := f.utilization * size * mix[k] / shape.cost()
+			next := at + time.Duration(rng.ExpFloat64()/rate/(1+f.hotFactor/float64(f.workspaces))*1e9)
+			if next/f.mixDuration > at/f.mixDuration {
+				at = (at/f.mixDuration + 1) * f.mixDuration // the next mix starts: memoryless
 				if at >= f.length {
 					break
 				}
@@ -72,23 +72,23 @@
 			if at >= f.length {
 				break
 			}
-			calls = append(calls, f.draw(rng, k, at))
+			calls = append(calls, f.newCall(rng, k, at))
 		}
 	}
 	slices.SortStableFunc(calls, func(a, b *call) int { return a.job.Arrived.Compare(b.job.Arrived) })
 	return calls
 }
 
-func (f fleet) draw(rng *rand.Rand, k int, at time.Duration) *call {
+func (f fleet) newCall(rng *rand.Rand, k int, at time.Duration) *call {
 	shape := f.kinds[k]
 	workspace := rng.IntN(f.workspaces)
-	if f.hot > 0 && rng.Float64() < f.hot/(f.hot+float64(f.workspaces)) {
+	if f.hotFactor > 0 && rng.Float64() < f.hotFactor/(f.hotFactor+float64(f.workspaces)) {
 		workspace = 0
 	}
 	size := 0.5 + rng.Float64()
 	prefix := uint64(k)<<32 | uint64(rng.IntN(max(1, shape.prefixes)))
 	c := &call{
-		class: k, prompt: shape.shared + (shape.prompt-shape.shared)*size, shared: shape.shared, prefix: prefix,
+		class: k, prompt: shape.sharedPrefix + (shape.prompt-shape.sharedPrefix)*size, shared: shape.sharedPrefix, prefix: prefix,
 		answer: float64(max(1, int(shape.answer*(0.5+rng.Float64())))),
 	}
 	c.job = &carawayspread.Job{
@@ -102,14 +102,14 @@
 // run is one fleet under one variant.
 type run struct {
 	*sim
-	fleet    fleet
-	variant  variant
-	engines  []*engine
-	entries  []*entry // those before the engines, then those before the records
-	policy   carawayspread.RolePolicy
-	changes  int
-	arriving map[int]*carawayspread.Cost
-	result   result
+	fleet       fleet
+	variant     variant
+	engines     []*engine
+	entries     []*entry // those before the engines, then those before the records
+	policy      carawayspread.RolePolicy
+	roleChanges int
+	arrivedCost map[int]*carawayspread.Cost
+	result      result
 }
 
 // variant is one way to decide: modules of the registries by name, where an
@@ -118,34 +118,34 @@
 	name                                string
 	scheduler, router, limiter, ejector string
 	roles                               string
-	budget                              bool // retries are bounded
-	urgent                              bool // engines are told when each answer is due
+	retryBudget                         bool // retries are bounded
+	deadlinePriority                    bool // engines are told when each answer is due
 	split                               func(engines []*engine)
 }
 
-func (f fleet) play(v variant) result {
-	r := &run{sim: &sim{}, fleet: f, variant: v, arriving: map[int]*carawayspread.Cost{}, result: newResult(f, v)}
+func (f fleet) simulate(v variant) result {
+	r := &run{sim: &sim{}, fleet: f, variant: v, arrivedCost: map[int]*carawayspread.Cost{}, result: newResult(f, v)}
 	for i := range f.engines {
 		r.engines = append(r.engines, newEngine(r.sim, carawayspread.EndpointID(fmt.Sprintf("engine%04d", i)), gpu))
 	}
-	if f.slow > 0 {
-		r.engines[0].speed = f.slow
+	if f.slowSpeed > 0 {
+		r.engines[0].speed = f.slowSpeed
 	}
 	if v.split != nil {
 		v.split(r.engines)
 	}
-	var plain []*engine
+	var recordEngines []*engine
 	for i := range f.records {
-		plain = append(plain, newEngine(r.sim, carawayspread.EndpointID(fmt.Sprintf("records%04d", i)), records))
+		recordEngines = append(recordEngines, newEngine(r.sim, carawayspread.EndpointID(fmt.Sprintf("records%04d", i)), records))
 	}
 	for i := range f.entries {
 		r.entries = append(r.entries, newEntry(r, i, r.engines))
 	}
 	for i := range f.entries {
-		r.entries = append(r.entries, newEntry(r, i, plain))
+		r.entries = append(r.entries, newEntry(r, i, recordEngines))
 	}
 	r.policy = build(carawayspread.RolePolicies, v.roles, carawayspread.Environment{Clock: r.sim})
-	r.every(planEvery, r.plan)
+	r.every(planInterval, r.planRoles)
 	balancer := rand.New(rand.NewPCG(f.seed, 1<<40))
 	for _, c := range f.arrivals() {
 		n := balancer.IntN(f.entries)
@@ -155,31 +155,31 @@
 		r.in(c.job.Arrived.Sub(epoch), func() { r.arrive(c, r.entries[n]) })
 	}
 	r.run(f.length + 2*time.Minute)
-	r.result.changes = r.changes
+	r.result.changes = r.roleChanges
 	return r.result
 }
 
 func (r *run) arrive(c *call, e *entry) {
-	if r.arriving[c.class] == nil {
-		r.arriving[c.class] = &carawayspread.Cost{}
+	if r.arrivedCost[c.class] == nil {
+		r.arrivedCost[c.class] = &carawayspread.Cost{}
 	}
-	r.arriving[c.class].Prefill += c.job.Cost.Prefill - int(c.shared*r.result.hits(c.class))
-	r.arriving[c.class].Decode += c.job.Cost.Decode
-	r.result.offered(c)
+	r.arrivedCost[c.class].Prefill += c.job.Cost.Prefill - int(c.shared*r.result.cacheHitRatio(c.class))
+	r.arrivedCost[c.class].Decode += c.job.Cost.Decode
+	r.result.countOffered(c)
 	e.arrive(c)
 }
 
 // plan asks the policy with what the entries measured since the last time.
-func (r *run) plan() {
+func (r *run) planRoles() {
 	demand := carawayspread.Demand{MeasuredAt: r.Now()}
 	for k, shape := range r.fleet.kinds {
 		if shape.plain || r.now > r.fleet.length {
 			continue
 		}
 		d := carawayspread.ClassDemand{Class: shape.class}
-		if a := r.arriving[k]; a != nil {
-			d.PrefillTokens = float64(a.Prefill) / planEvery.Seconds()
-			d.DecodeTokens = float64(a.Decode) / planEvery.Seconds()
+		if a := r.arrivedCost[k]; a != nil {
+			d.PrefillTokens = float64(a.Prefill) / planInterval.Seconds()
+			d.DecodeTokens = float64(a.Decode) / planInterval.Seconds()
 		}
 		for _, e := range r.entries {
 			if q := e.queued[k]; q != nil {
@@ -189,14 +189,14 @@
 		}
 		demand.Classes = append(demand.Classes, d)
 	}
-	clear(r.arriving)
+	clear(r.arrivedCost)
 	states := make([]carawayspread.RoleState, 0, len(r.engines))
 	byID := map[carawayspread.EndpointID]*engine{}
 	for _, g := range r.engines {
 		byID[g.id] = g
 		role := g.role
 		if g.changing {
-			role = g.next
+			role = g.nextRole
 		}
 		states = append(states, carawayspread.RoleState{
 			Endpoint: g.id, Role: role, Changing: g.changing, Running: len(g.running) + len(g.prompts),
@@ -204,13 +204,13 @@
 		})
 	}
 	for _, c := range r.policy.Plan(states, demand) {
-		r.changes++
-		byID[c.Endpoint].change(c.To)
+		r.roleChanges++
+		byID[c.Endpoint].changeRole(c.To)
 	}
 }
 
 // worked counts tokens that engines spent on a call before its answer.
-func (r *run) worked(c *call, prefilled float64) { r.result.prefilled(c, prefilled) }
+func (r *run) recordPrefill(c *call, prefilled float64) { r.result.countPrefill(c, prefilled) }
 
 // over takes the final answer of a call.
-func (r *run) over(c *call) { r.result.add(c) }
+func (r *run) recordEnd(c *call) { r.result.add(c) }
--- a/internal/soak/fleet/fleet.go
+++ b/internal/soak/fleet/fleet.go
@@ -27,21 +27,21 @@
 const (
 	// grace, leaving and megabytes are what the settings of each gateway grant and
 	// promise; of the order that users grant.
-	grace     = 8 * time.Second
-	leaving   = 2 * time.Second
-	megabytes = 100
+	grace           = 8 * time.Second
+	drainBound      = 2 * time.Second
+	memoryMegabytes = 100
 	// ratio and slack, in each budget, bound retries of all gateways together.
-	ratio  = 0.2
-	slack  = 50
-	budget = 10 * time.Second
+	retryRatio  = 0.2
+	retrySlack  = 50
+	retryWindow = 10 * time.Second
 	// late is how much later than promised something may be seen on a busy machine.
-	late = time.Second
+	tolerance = time.Second
 	// plainWorkers, readers and answerers serve; one of each more than is needed, so
 	// that a fault of one leaves another.
-	plainWorkers, readers, answerers = 4, 2, 3
+	plainWorkers, prefillWorkers, decodeWorkers = 4, 2, 3
 	// callersEach and thinking give each gateway some 200 requests a second.
-	callersEach = 4
-	thinking    = 15 * time.Millisecond
+	callersPerGateway = 4
+	meanThinkTime     = 15 * time.Millisecond
 )
 
 // timeouts are those of the routes.
@@ -51,20 +51,20 @@
 
 // Fleet is gateways with everything round them.
 type Fleet struct {
-	clock    carawayspread.Clock
-	history  *history.History
-	store    *rows.Store
-	server   *http.Server
-	storeBy  *relay.Relay
-	gateways []*gateway
-	begun    time.Time
-
-	mu      sync.Mutex
-	workers []*listed
-	all     []*listed // those that left too
-	version int
-	seq     int
-	failed  []error // of injecting, not of the programs
+	clock      carawayspread.Clock
+	history    *history.History
+	store      *rows.Store
+	server     *http.Server
+	storeRelay *relay.Relay
+	gateways   []*gateway
+	loadStart  time.Time
+
+	mu              sync.Mutex
+	workers         []*listedWorker
+	allWorkers      []*listedWorker // those that left too
+	version         int
+	seq             int
+	injectionErrors []error // of injecting, not of the programs
 }
 
 // gateway is one gateway.
@@ -72,24 +72,24 @@
 	name    string
 	listen  string
 	program *program.Program
-	busy    sync.Mutex // one fault of the process at a time
+	faultMu sync.Mutex // one fault of the process at a time
 }
 
 // listed is one worker in the list, behind a relay.
-type listed struct {
-	worker  *worker.Worker
-	by      *relay.Relay
-	service string
-	role    string
-	limited atomic.Bool // it names a rate
+type listedWorker struct {
+	worker      *worker.Worker
+	relay       *relay.Relay
+	service     string
+	role        string
+	rateLimited atomic.Bool // it names a rate
 }
 
 // New starts stand-ins and so many gateways of the binary, which log to dir.
 func New(binary, dir string, size int, clock carawayspread.Clock) (*Fleet, error) {
-	begun := clock.Now()
-	f := &Fleet{clock: clock, store: rows.New(), begun: begun, history: history.New(history.Terms{
-		Timeouts: timeouts, Late: late, Leaving: leaving, Ratio: ratio, Slack: slack, Window: budget, Megabytes: megabytes,
-	}, begun)}
+	start := clock.Now()
+	f := &Fleet{clock: clock, store: rows.New(), loadStart: start, history: history.New(history.Bounds{
+		Timeouts: timeouts, Tolerance: tolerance, Drain: drainBound, RetryRatio: retryRatio, RetrySlack: retrySlack, RetryWindow: retryWindow, MemoryMegabytes: memoryMegabytes,
+	}, start)}
 	if err := f.start(binary, dir, size); err != nil {
 		f.Close()
 		return nil, err
@@ -101,16 +101,16 @@
 	if err := f.serveStore(); err != nil {
 		return err
 	}
-	f.routes()
-	for n := range plainWorkers + readers + answerers {
+	f.publishRoutes()
+	for n := range plainWorkers + prefillWorkers + decodeWorkers {
 		service, role := "plain", ""
 		if n >= plainWorkers {
 			service, role = "model", "prefill"
 		}
-		if n >= plainWorkers+readers {
+		if n >= plainWorkers+prefillWorkers {
 			role = "decode"
 		}
-		if err := f.come(service, role); err != nil {
+		if err := f.addWorker(service, role); err != nil {
 			return err
 		}
 	}
@@ -124,21 +124,21 @@
 	}
 	f.server = &http.Server{Handler: f.store}
 	go func() { _ = f.server.Serve(listener) }()
-	f.storeBy, err = relay.New(listener.Addr().String(), f.clock)
+	f.storeRelay, err = relay.New(listener.Addr().String(), f.clock)
 	return err
 }
 
 func (f *Fleet) startGateways(binary, dir string, size int) error {
-	ports, err := freePorts(4 * size)
+	addresses, err := freeAddresses(4 * size)
 	if err != nil {
 		return err
 	}
 	for n := range size {
-		own := ports[4*n : 4*n+4]
+		own := addresses[4*n : 4*n+4]
 		var seeds []string
 		for other := range size {
 			if other != n {
-				seeds = append(seeds, fmt.Sprintf("%q", ports[4*other+2]))
+				seeds = append(seeds, fmt.Sprintf("%q", addresses[4*other+2]))
 			}
 		}
 		name := fmt.Sprint("g", n)
@@ -146,7 +146,7 @@
 		text := fmt.Sprintf(`{"instance":{"id":%q,"zone":"z"},"addresses":{"listen":%q,"health":%q,"peer":%q,"metrics":%q},
 "store":%q,"seeds":[%s],"grace":"%v","memoryMegabytes":%d,"promises":{"leaving":"%v","inForce":"%v"},
 "retries":{"ratio":%g,"slack":%d,"window":"%v"}}
-`, name, own[0], own[1], own[2], own[3], f.storeBy.Address(), strings.Join(seeds, ","), grace, megabytes, leaving, leaving, ratio, slack, budget)
+`, name, own[0], own[1], own[2], own[3], f.storeRelay.Address(), strings.Join(seeds, ","), grace, memoryMegabytes, drainBound, drainBound, retryRatio, retrySlack, retryWindow)
 		if err := os.WriteFile(settings, []byte(text), 0o600); err != nil {
 			return trace.ConvertSystemError(err)
 		}
@@ -170,17 +170,17 @@
 }
 
 // freePorts returns addresses on loopback that nobody listens on.
-func freePorts(n int) ([]string, error) {
-	var all []string
+func freeAddresses(n int) ([]string, error) {
+	var addresses []string
 	for range n {
 		l, err := net.Listen("tcp4", net.JoinHostPort(ownHost(), "0"))
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
 		defer func() { _ = l.Close() }()
-		all = append(all, l.Addr().String())
+		addresses = append(addresses, l.Addr().String())
 	}
-	return all, nil
+	return addresses, nil
 }
 
 // Close ends what was started.
@@ -188,12 +188,12 @@
 	for _, g := range f.gateways {
 		g.program.Close()
 	}
-	for _, p := range f.all {
-		p.by.Close()
+	for _, p := range f.allWorkers {
+		p.relay.Close()
 		p.worker.Close()
 	}
-	if f.storeBy != nil {
-		f.storeBy.Close()
+	if f.storeRelay != nil {
+		f.storeRelay.Close()
 	}
 	if f.server != nil {
 		_ = f.server.Close()
@@ -204,11 +204,11 @@
 func (f *Fleet) History() *history.History { return f.history }
 
 // collect adds what the workers saw.
-func (f *Fleet) collect() {
+func (f *Fleet) collectRequests() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, p := range f.all {
-		f.history.Ran(p.worker.ID(), p.worker.Seen())
+	for _, p := range f.allWorkers {
+		f.history.RecordRequests(p.worker.ID(), p.worker.Seen())
 	}
 }
 
@@ -216,5 +216,5 @@
 func (f *Fleet) InjectionErrors() []error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.failed
+	return f.injectionErrors
 }
--- a/internal/soak/fleet/inject.go
+++ b/internal/soak/fleet/inject.go
@@ -16,23 +16,23 @@
 
 const (
 	// restart is how long a platform takes to start a process that has ended.
-	restart = 300 * time.Millisecond
+	restartDelay = 300 * time.Millisecond
 	// started is how long a process that starts may not be ready yet: its first
 	// reads of the store, with one that fails.
-	started = 2 * time.Second
+	startupTime = 2 * time.Second
 	// mostMisbehaved is for how many requests a worker misbehaves at most: enough
 	// that some of them are of each kind.
-	mostMisbehaved = 60
+	maxMisbehaviours = 60
 )
 
 // narrow is the link of a small instance, in bits a second.
-const narrow = 10e6
+const smallInstanceLink = 10e6
 
 // rates are those that workers name, in requests a second.
-var rates = []float64{0.5, 2.2, 4}
+var rateLimits = []float64{0.5, 2.2, 4}
 
 // faults are what the steps do to the way to a worker.
-var faults = map[schedule.Kind]relay.Fault{
+var relayFaults = map[schedule.Kind]relay.Fault{
 	schedule.Delayed: relay.Delayed, schedule.Silent: relay.Silent,
 	schedule.OneWay: relay.OneWay, schedule.Refused: relay.Refused,
 }
@@ -47,75 +47,75 @@
 func (f *Fleet) inject(s *schedule.Schedule) {
 	var all sync.WaitGroup
 	for _, step := range s.Steps() {
-		<-f.clock.After(f.begun.Add(step.At).Sub(f.clock.Now()))
+		<-f.clock.After(f.loadStart.Add(step.At).Sub(f.clock.Now()))
 		all.Go(func() {
-			if err := f.step(step); err != nil {
+			if err := f.runStep(step); err != nil {
 				f.mu.Lock()
 				defer f.mu.Unlock()
-				f.failed = append(f.failed, fmt.Errorf("%s at %v: %w", step.Kind, step.At, err))
+				f.injectionErrors = append(f.injectionErrors, fmt.Errorf("%s at %v: %w", step.Kind, step.At, err))
 			}
 		})
 	}
 	all.Wait()
 }
 
-func (f *Fleet) step(step schedule.Step) error {
+func (f *Fleet) runStep(step schedule.Step) error {
 	g := f.gateways[step.Which%len(f.gateways)]
 	switch step.Kind {
 	case schedule.Kill:
-		return f.end(g, syscall.SIGKILL)
+		return f.restartGateway(g, syscall.SIGKILL)
 	case schedule.KillAll:
-		return f.endAll()
+		return f.killAll()
 	case schedule.Replace:
-		return f.end(g, syscall.SIGTERM)
+		return f.restartGateway(g, syscall.SIGTERM)
 	case schedule.Pause:
-		return f.pause(g, step.For)
+		return f.pause(g, step.Duration)
 	case schedule.Reload:
 		return g.program.Signal(syscall.SIGHUP)
 	case schedule.StoreDown:
-		f.hurt(history.Store, step.For, func() { f.store.Answer(http.StatusServiceUnavailable) }, func() { f.store.Answer(0) })
+		f.runFault(history.Store, step.Duration, func() { f.store.Answer(http.StatusServiceUnavailable) }, func() { f.store.Answer(0) })
 	case schedule.StoreSilent:
-		f.hurt(history.Store, step.For, func() { f.storeBy.SetFault(relay.Silent) }, func() { f.storeBy.SetFault(relay.None) })
+		f.runFault(history.Store, step.Duration, func() { f.storeRelay.SetFault(relay.Silent) }, func() { f.storeRelay.SetFault(relay.None) })
 	case schedule.Narrow:
-		f.hurt(history.Store, step.For, func() { f.storeBy.LimitBandwidth(narrow) }, func() { f.storeBy.LimitBandwidth(0) })
+		f.runFault(history.Store, step.Duration, func() { f.storeRelay.LimitBandwidth(smallInstanceLink) }, func() { f.storeRelay.LimitBandwidth(0) })
 	case schedule.StoreForgot:
 		f.store.Compact()
 	case schedule.Misbehave:
-		draw, p := rand.New(rand.NewPCG(step.Draw, 0)), f.pick(step.Which)
-		for range 1 + draw.IntN(mostMisbehaved) {
-			p.worker.Then(behaviours[draw.IntN(len(behaviours))])
+		rng, p := rand.New(rand.NewPCG(step.Random, 0)), f.pickWorker(step.Which)
+		for range 1 + rng.IntN(maxMisbehaviours) {
+			p.worker.Then(behaviours[rng.IntN(len(behaviours))])
 		}
 	case schedule.Drain:
-		return f.leave(step.Which)
+		return f.replaceWorker(step.Which)
 	case schedule.Routes:
-		f.routes()
+		f.publishRoutes()
 	case schedule.Restore:
-		return f.restore(step.For)
+		return f.restore(step.Duration)
 	case schedule.Leaving:
-		return f.leaveUnlisted(step.Which, step.For)
+		return f.drainUnlisted(step.Which, step.Duration)
 	case schedule.Limited:
-		f.limit(step.Which, rates[step.Draw%uint64(len(rates))], step.For)
+		f.limitRate(step.Which, rateLimits[step.Random%uint64(len(rateLimits))], step.Duration)
 	default:
-		p := f.pick(step.Which)
-		f.hurt(history.Hurt(p.worker.ID()), step.For, func() { p.by.SetFault(faults[step.Kind]) }, func() { p.by.SetFault(relay.None) })
+		p := f.pickWorker(step.Which)
+		f.runFault(history.Target(p.worker.ID()), step.Duration, func() { p.relay.SetFault(relayFaults[step.Kind]) }, func() { p.relay.SetFault(relay.None) })
 	}
 	return nil
 }
 
 // hurt lets a fault last and records it.
-func (f *Fleet) hurt(what history.Hurt, d time.Duration, begin, end func()) {
+func (f *Fleet) runFault(target history.Target, d time.Duration, begin, end func()) {
 	from := f.clock.Now()
 	begin()
 	<-f.clock.After(d)
 	end()
-	f.history.Hurt(what, from, f.clock.Now())
+	f.history.RecordFault(target, from, f.clock.Now())
 }
 
 // end ends a process by a signal and starts the next one. What an order to end
 // leaves without an answer is a finding; what a kill does is not.
-func (f *Fleet) end(g *gateway, s syscall.Signal) error {
-	g.busy.Lock()
-	defer g.busy.Unlock()
+func (f *Fleet) restartGateway(g *gateway, s syscall.Signal) error {
+	g.faultMu.Lock()
+	defer g.faultMu.Unlock()
 	from := f.clock.Now()
 	if err := g.program.Signal(s); err != nil {
 		return err
@@ -128,27 +128,27 @@
 		return fmt.Errorf("%s had not ended after %v", g.name, grace)
 	}
 	ended := f.clock.Now()
-	<-f.clock.After(restart)
+	<-f.clock.After(restartDelay)
 	if err := g.program.Start(); err != nil {
 		return err
 	}
-	<-f.clock.After(started)
+	<-f.clock.After(startupTime)
 	if s == syscall.SIGKILL {
-		f.history.Hurt(history.Hurt(g.name), from, f.clock.Now())
+		f.history.RecordFault(history.Target(g.name), from, f.clock.Now())
 	} else {
-		f.history.Ended(g.name, ended, f.clock.Now())
+		f.history.RecordShutdown(g.name, ended, f.clock.Now())
 	}
 	return nil
 }
 
-func (f *Fleet) endAll() error {
+func (f *Fleet) killAll() error {
 	var all sync.WaitGroup
-	failed := make([]error, len(f.gateways))
+	errs := make([]error, len(f.gateways))
 	for n, g := range f.gateways {
-		all.Go(func() { failed[n] = f.end(g, syscall.SIGKILL) })
+		all.Go(func() { errs[n] = f.restartGateway(g, syscall.SIGKILL) })
 	}
 	all.Wait()
-	for _, err := range failed {
+	for _, err := range errs {
 		if err != nil {
 			return err
 		}
@@ -157,14 +157,14 @@
 }
 
 func (f *Fleet) pause(g *gateway, d time.Duration) error {
-	g.busy.Lock()
-	defer g.busy.Unlock()
+	g.faultMu.Lock()
+	defer g.faultMu.Unlock()
 	from := f.clock.Now()
 	if err := g.program.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
 	<-f.clock.After(d)
 	err := g.program.Signal(syscall.SIGCONT)
-	f.history.Hurt(history.Hurt(g.name), from, f.clock.Now())
+	f.history.RecordFault(history.Target(g.name), from, f.clock.Now())
 	return err
 }
--- a/internal/soak/fleet/load.go
+++ b/internal/soak/fleet/load.go
@@ -16,103 +16,103 @@
 
 const (
 	// readyWithin is ample for programs that start on a busy machine.
-	readyWithin = 10 * time.Second
-	readyPoll   = 50 * time.Millisecond
+	readyTimeout      = 10 * time.Second
+	readyPollInterval = 50 * time.Millisecond
 	// calm is the time after the last fault in which everything may come to rest:
 	// the longest timeout of a route, and some reads of the list.
-	calm = 6 * time.Second
+	settleTime = 6 * time.Second
 	// mischief is how much longer workers misbehave where they still have to.
-	mischief = 3 * time.Second
+	misbehaviourTime = 3 * time.Second
 	// refusedPause is what a caller waits that found nobody at its gateway.
-	refusedPause = 50 * time.Millisecond
+	reconnectDelay = 50 * time.Millisecond
 	// lastAsked is how often each gateway is asked for each kind at the end: more
 	// often than it has workers of a service, so that each of them is met.
-	lastAsked = 5
+	finalRequestsPerKind = 5
 	// memoryPoll is short against the seconds in which memory would grow too far.
-	memoryPoll = 500 * time.Millisecond
+	memoryPollInterval = 500 * time.Millisecond
 )
 
-var kinds = []caller.Kind{caller.Safe, caller.Unsafe, caller.Stream}
+var callerKinds = []caller.Kind{caller.Safe, caller.Unsafe, caller.Stream}
 
 // Run waits until all gateways serve, plays the schedule under load, and asks each
 // gateway once more after all faults have ended.
 func (f *Fleet) Run(ctx context.Context, s *schedule.Schedule) error {
-	if err := f.ready(); err != nil {
+	if err := f.waitReady(); err != nil {
 		return err
 	}
 	f.store.Idle(s.IdleRoutes())
-	f.routes()
-	f.begun = f.clock.Now()
-	asking, stop := context.WithCancel(ctx)
+	f.publishRoutes()
+	f.loadStart = f.clock.Now()
+	loadCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	var callers sync.WaitGroup
 	for n, g := range f.gateways {
-		callers.Go(func() { f.watch(asking, g) })
-		for c := range callersEach {
+		callers.Go(func() { f.watchMemory(loadCtx, g) })
+		for c := range callersPerGateway {
 			callers.Go(func() {
-				f.ask(asking, g, rand.New(rand.NewPCG(s.Seed(), uint64(n*callersEach+c+1))), fmt.Sprintf("%d-%s-%d", s.Seed(), g.name, c))
+				f.sendRequests(loadCtx, g, rand.New(rand.NewPCG(s.Seed(), uint64(n*callersPerGateway+c+1))), fmt.Sprintf("%d-%s-%d", s.Seed(), g.name, c))
 			})
 		}
 	}
 	f.inject(s)
-	<-f.clock.After(mischief)
+	<-f.clock.After(misbehaviourTime)
 	for _, p := range f.workers {
 		p.worker.Recover()
 	}
-	<-f.clock.After(calm)
+	<-f.clock.After(settleTime)
 	stop()
 	callers.Wait()
-	f.last(ctx, s.Seed())
-	f.collect()
+	f.sendFinalRequests(ctx, s.Seed())
+	f.collectRequests()
 	return ctx.Err()
 }
 
 // ready waits until each gateway says that it serves.
-func (f *Fleet) ready() error {
+func (f *Fleet) waitReady() error {
 	for _, g := range f.gateways {
-		end := f.clock.Now().Add(readyWithin)
+		deadline := f.clock.Now().Add(readyTimeout)
 		for {
 			a := caller.New(g.listen).Ask(context.Background(), caller.Safe, "first-"+g.name)
 			if a.Status == http.StatusOK {
 				break
 			}
-			if f.clock.Now().After(end) {
+			if f.clock.Now().After(deadline) {
 				return trace.Errorf("%s does not serve: %d, %v", g.name, a.Status, a.Err)
 			}
-			<-f.clock.After(readyPoll)
+			<-f.clock.After(readyPollInterval)
 		}
 	}
 	return nil
 }
 
 // ask sends one request after the other. The one under way when ctx ends gets its answer.
-func (f *Fleet) ask(ctx context.Context, g *gateway, draw *rand.Rand, name string) {
+func (f *Fleet) sendRequests(ctx context.Context, g *gateway, rng *rand.Rand, name string) {
 	c := caller.New(g.listen)
 	for n := 0; ctx.Err() == nil; n++ {
-		a := c.Ask(context.WithoutCancel(ctx), kinds[draw.IntN(len(kinds))], fmt.Sprint(name, "-", n))
-		f.history.Answered(g.name, a)
-		pause := time.Duration(draw.ExpFloat64() * float64(thinking))
+		a := c.Ask(context.WithoutCancel(ctx), callerKinds[rng.IntN(len(callerKinds))], fmt.Sprint(name, "-", n))
+		f.history.RecordAnswer(g.name, a)
+		pause := time.Duration(rng.ExpFloat64() * float64(meanThinkTime))
 		if !a.Connected() {
-			pause = refusedPause
+			pause = reconnectDelay
 		}
 		<-f.clock.After(pause)
 	}
 }
 
 // watch notes what a gateway's process occupies.
-func (f *Fleet) watch(ctx context.Context, g *gateway) {
+func (f *Fleet) watchMemory(ctx context.Context, g *gateway) {
 	for ctx.Err() == nil {
-		f.history.Occupied(g.name, g.program.Megabytes())
-		<-f.clock.After(memoryPoll)
+		f.history.RecordMemory(g.name, g.program.MemoryMegabytes())
+		<-f.clock.After(memoryPollInterval)
 	}
 }
 
-func (f *Fleet) last(ctx context.Context, seed uint64) {
+func (f *Fleet) sendFinalRequests(ctx context.Context, seed uint64) {
 	for _, g := range f.gateways {
 		c := caller.New(g.listen)
-		for n := range lastAsked {
-			for _, kind := range kinds {
-				f.history.Recovered(g.name, c.Ask(ctx, kind, fmt.Sprintf("%d-last-%s-%s-%d", seed, g.name, kind, n)))
+		for n := range finalRequestsPerKind {
+			for _, kind := range callerKinds {
+				f.history.RecordFinalAnswer(g.name, c.Ask(ctx, kind, fmt.Sprintf("%d-last-%s-%s-%d", seed, g.name, kind, n)))
 			}
 		}
 	}
--- a/internal/soak/fleet/platform.go
+++ b/internal/soak/fleet/platform.go
@@ -15,7 +15,7 @@
 )
 
 // routes publishes a newer version of the routes.
-func (f *Fleet) routes() {
+func (f *Fleet) publishRoutes() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.version++
@@ -23,7 +23,7 @@
 }
 
 // come starts a worker and lists it.
-func (f *Fleet) come(service, role string) error {
+func (f *Fleet) addWorker(service, role string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.seq++
@@ -31,40 +31,40 @@
 	if err != nil {
 		return err
 	}
-	by, err := relay.New(w.Address(), f.clock)
+	relayed, err := relay.New(w.Address(), f.clock)
 	if err != nil {
 		return err
 	}
-	p := &listed{worker: w, by: by, service: service, role: role}
-	f.workers, f.all = append(f.workers, p), append(f.all, p)
-	return f.list(p, "ready")
+	p := &listedWorker{worker: w, relay: relayed, service: service, role: role}
+	f.workers, f.allWorkers = append(f.workers, p), append(f.allWorkers, p)
+	return f.publishWorker(p, "ready")
 }
 
 // list publishes the entry of a worker.
-func (f *Fleet) list(p *listed, state string) error {
+func (f *Fleet) publishWorker(p *listedWorker, state string) error {
 	f.seq++
 	return f.store.List(p.worker.ID(), rows.Server{
-		Service: p.service, Address: p.by.Address(), Zone: "z", Slots: 8, State: state, Stage: p.role, Seq: f.seq,
+		Service: p.service, Address: p.relay.Address(), Zone: "z", Slots: 8, State: state, Stage: p.role, Seq: f.seq,
 	})
 }
 
 // leave has a worker say that it leaves, and another come in its place.
-func (f *Fleet) leave(which int) (err error) {
+func (f *Fleet) replaceWorker(which int) (err error) {
 	f.mu.Lock()
 	i := which % len(f.workers)
 	p := f.workers[i]
 	f.workers = append(f.workers[:i:i], f.workers[i+1:]...)
-	f.history.Left(p.worker.ID(), f.clock.Now())
-	err = f.list(p, "draining")
+	f.history.RecordDraining(p.worker.ID(), f.clock.Now())
+	err = f.publishWorker(p, "draining")
 	f.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	return f.come(p.service, p.role)
+	return f.addWorker(p.service, p.role)
 }
 
 // pick returns one of the workers that serve.
-func (f *Fleet) pick(which int) *listed {
+func (f *Fleet) pickWorker(which int) *listedWorker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.workers[which%len(f.workers)]
@@ -72,8 +72,8 @@
 
 // leaveUnlisted has a worker say in its answers that it leaves, a while before the list
 // says so.
-func (f *Fleet) leaveUnlisted(which int, d time.Duration) error {
-	p := f.pick(which)
+func (f *Fleet) drainUnlisted(which int, d time.Duration) error {
+	p := f.pickWorker(which)
 	p.worker.Say("Server-Leaving", "1")
 	<-f.clock.After(d)
 	f.mu.Lock()
@@ -82,28 +82,28 @@
 	if i < 0 {
 		return nil // it has left by another step
 	}
-	return f.leave(i)
+	return f.replaceWorker(i)
 }
 
 // limit has a worker name a rate in its answers for a while.
-func (f *Fleet) limit(which int, rate float64, d time.Duration) {
-	p := f.pick(which)
-	if !p.limited.CompareAndSwap(false, true) {
+func (f *Fleet) limitRate(which int, rate float64, d time.Duration) {
+	p := f.pickWorker(which)
+	if !p.rateLimited.CompareAndSwap(false, true) {
 		return // it names another rate already
 	}
-	defer p.limited.Store(false)
+	defer p.rateLimited.Store(false)
 	from := f.clock.Now()
 	p.worker.Say("Server-Limit", strconv.FormatFloat(rate, 'g', -1, 64))
 	<-f.clock.After(d)
-	f.history.Limited(p.worker.ID(), rate, from, f.clock.Now())
+	f.history.RecordRateLimit(p.worker.ID(), rate, from, f.clock.Now())
 	p.worker.Say("Server-Limit", "")
 }
 
 const (
 	// away is how long the store is away before it comes back from a copy, and rewritten
 	// how long after that what was lost is written again.
-	away      = 300 * time.Millisecond
-	rewritten = 500 * time.Millisecond
+	storeOutage  = 300 * time.Millisecond
+	rewriteDelay = 500 * time.Millisecond
 )
 
 // restore has the store lose what was written in a while, as it comes back from a copy.
@@ -113,22 +113,22 @@
 	older := f.store.Copy()
 	<-f.clock.After(lost)
 	f.store.Answer(http.StatusServiceUnavailable)
-	<-f.clock.After(away)
+	<-f.clock.After(storeOutage)
 	f.store.Restore(older)
 	f.store.Answer(0)
-	<-f.clock.After(rewritten)
+	<-f.clock.After(rewriteDelay)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.store.Publish(f.version, "model")
-	for _, p := range f.all {
+	for _, p := range f.allWorkers {
 		state := "draining"
 		if slices.Contains(f.workers, p) {
 			state = "ready"
 		}
-		if err := f.list(p, state); err != nil {
+		if err := f.publishWorker(p, state); err != nil {
 			return err
 		}
 	}
-	f.history.Hurt(history.Store, from, f.clock.Now())
+	f.history.RecordFault(history.Store, from, f.clock.Now())
 	return nil
 }
--- a/internal/soak/history/feedback.go
+++ b/internal/soak/history/feedback.go
@@ -9,68 +9,68 @@
 	// grace is how long requests that were under way may go on to arrive after a worker
 	// first named a rate, and known how long a process may take to learn of it that has
 	// passed it on.
-	grace = 3 * time.Second
-	known = 500 * time.Millisecond
+	inFlightGrace = 3 * time.Second
+	learnDelay    = 500 * time.Millisecond
 	// A worker may get more than its rate in any span by this factor and this many.
-	span   = 4 * time.Second
-	factor = 1.5
-	slack  = 5
+	rateWindow = 4 * time.Second
+	rateFactor = 1.5
+	rateSlack  = 5
 )
 
 // way is from a process to a worker.
-type way struct{ process, worker string }
+type link struct{ process, worker string }
 
 // told returns when each process first passed on an answer that says something.
-func (h *History) told(says func(answer) bool) map[way]time.Time {
-	told := map[way]time.Time{}
+func (h *History) firstFeedback(matches func(answer) bool) map[link]time.Time {
+	first := map[link]time.Time{}
 	for _, a := range h.answers {
 		worker, _, signed := strings.Cut(a.Seal, ".")
-		if !signed || !says(a) {
+		if !signed || !matches(a) {
 			continue
 		}
-		w := way{a.process, worker}
-		if at, ok := told[w]; !ok || a.Ended.Before(at) {
-			told[w] = a.Ended
+		path := link{a.process, worker}
+		if at, ok := first[path]; !ok || a.Ended.Before(at) {
+			first[path] = a.Ended
 		}
 	}
-	return told
+	return first
 }
 
 // byID returns the answers by what they answer.
-func (h *History) byID() map[string]answer {
-	asked := map[string]answer{}
+func (h *History) answersByID() map[string]answer {
+	byID := map[string]answer{}
 	for _, a := range h.answers {
-		asked[a.ID] = a
+		byID[a.ID] = a
 	}
-	return asked
+	return byID
 }
 
 // toldLeaving: a process sends nothing to a worker once it has passed on an answer of it
 // that says that it leaves, whatever the store says.
-func (h *History) toldLeaving() []string {
-	told, asked := h.told(func(a answer) bool { return a.Leaving }), h.byID()
-	for _, r := range h.runs {
-		a, ok := asked[r.ID]
-		at, knows := told[way{a.process, r.worker}]
-		if !ok || !knows || !a.Asked.After(at.Add(h.terms.Leaving)) || h.overlaps(Hurt(a.process), at, r.At) {
+func (h *History) checkDrainFeedback() []string {
+	first, answers := h.firstFeedback(func(a answer) bool { return a.Leaving }), h.answersByID()
+	for _, r := range h.requests {
+		a, ok := answers[r.ID]
+		at, received := first[link{a.process, r.worker}]
+		if !ok || !received || !a.Asked.After(at.Add(h.bounds.Drain)) || h.overlaps(Target(a.process), at, r.At) {
 			continue
 		}
-		return say("%s was sent to %s by %s %v after an answer had told it that the worker leaves", r.ID, r.worker, a.process, r.At.Sub(at))
+		return finding("%s was sent to %s by %s %v after an answer had told it that the worker leaves", r.ID, r.worker, a.process, r.At.Sub(at))
 	}
 	return nil
 }
 
 // rates: a worker gets no more than the rate that it names from the processes that have
 // passed it on.
-func (h *History) rates() []string {
-	told, asked := h.told(func(a answer) bool { return a.Limited }), h.byID()
-	for _, l := range h.limited {
+func (h *History) checkRateLimits() []string {
+	feedback, answers := h.firstFeedback(func(a answer) bool { return a.Limited }), h.answersByID()
+	for _, l := range h.rateLimits {
 		var arrived []time.Time
-		for _, r := range h.runs {
-			a := asked[r.ID]
-			at, knows := told[way{a.process, l.worker}]
-			if r.worker != l.worker || !knows || r.At.Before(at.Add(known)) || r.At.Before(l.from.Add(grace)) || r.At.After(l.to) ||
-				h.overlaps(Hurt(a.process), l.from, r.At) {
+		for _, r := range h.requests {
+			a := answers[r.ID]
+			at, received := feedback[link{a.process, l.worker}]
+			if r.worker != l.worker || !received || r.At.Before(at.Add(learnDelay)) || r.At.Before(l.from.Add(inFlightGrace)) || r.At.After(l.to) ||
+				h.overlaps(Target(a.process), l.from, r.At) {
 				continue
 			}
 			arrived = append(arrived, r.At)
@@ -78,12 +78,12 @@
 		for _, first := range arrived {
 			n := 0
 			for _, at := range arrived {
-				if !at.Before(first) && at.Before(first.Add(span)) {
+				if !at.Before(first) && at.Before(first.Add(rateWindow)) {
 					n++
 				}
 			}
-			if allowed := factor*l.rate*span.Seconds() + slack; float64(n) > allowed {
-				return say("%s, which takes %g a second, got %d requests in %v, of %.0f", l.worker, l.rate, n, span, allowed)
+			if allowed := rateFactor*l.rate*rateWindow.Seconds() + rateSlack; float64(n) > allowed {
+				return finding("%s, which takes %g a second, got %d requests in %v, of %.0f", l.worker, l.rate, n, rateWindow, allowed)
 			}
 		}
 	}
--- a/internal/soak/history/history.go
+++ b/internal/soak/history/history.go
@@ -17,36 +17,36 @@
 	"carawayspread/internal/standin/worker"
 )
 
-// Hurt is what a fault hurts.
-type Hurt string
+// Target is what a fault hurts.
+type Target string
 
 // Store is hurt itself, or the way to it. What else is hurt goes by its name: a
 // gateway that does not run, and a worker the way to which fails.
-const Store Hurt = "store"
+const Store Target = "store"
 
-// Terms are what is promised.
-type Terms struct {
+// Bounds are what is promised.
+type Bounds struct {
 	// Timeouts are what a route allows until the final answer, and Late how much
 	// later callers may see it on a busy machine.
-	Timeouts map[caller.Kind]time.Duration
-	Late     time.Duration
-	Leaving  time.Duration // in which nothing more is sent to a leaving worker
-	// Ratio, Slack and Window bound what is sent beyond first attempts.
-	Ratio     float64
-	Slack     int
-	Window    time.Duration
-	Megabytes int // of a process
+	Timeouts  map[caller.Kind]time.Duration
+	Tolerance time.Duration
+	Drain     time.Duration // in which nothing more is sent to a leaving worker
+	// RetryRatio, Slack and Window bound what is sent beyond first attempts.
+	RetryRatio      float64
+	RetrySlack      int
+	RetryWindow     time.Duration
+	MemoryMegabytes int // of a process
 }
 
 // window is when something was hurt. An order to end hurts nobody who asked before
 // the process had ended.
-type window struct {
+type interval struct {
 	from, to time.Time
-	ordered  bool
+	shutdown bool
 }
 
 // limit is the rate that a worker named for a while, in requests a second.
-type limit struct {
+type rateLimit struct {
 	worker   string
 	rate     float64
 	from, to time.Time
@@ -57,90 +57,90 @@
 	process string
 }
 
-type run struct {
+type request struct {
 	worker.Seen
 	worker string
 }
 
 // History is what was seen. It is safe for concurrent use.
 type History struct {
-	terms Terms
-
-	mu      sync.Mutex
-	begun   time.Time
-	answers []answer
-	runs    []run
-	hurt    map[Hurt][]window
-	left    map[string]time.Time // of workers
-	limited []limit
-	last    []answer       // after all faults had ended
-	memory  map[string]int // the most of each process, in megabytes
+	bounds Bounds
+
+	mu            sync.Mutex
+	start         time.Time
+	answers       []answer
+	requests      []request
+	faults        map[Target][]interval
+	drainingSince map[string]time.Time // of workers
+	rateLimits    []rateLimit
+	finalAnswers  []answer       // after all faults had ended
+	peakMemory    map[string]int // the most of each process, in megabytes
 }
 
 // New returns an empty history that begins now.
-func New(terms Terms, begun time.Time) *History {
-	return &History{terms: terms, begun: begun, hurt: map[Hurt][]window{}, left: map[string]time.Time{}, memory: map[string]int{}}
+func New(bounds Bounds, start time.Time) *History {
+	return &History{bounds: bounds, start: start, faults: map[Target][]interval{}, drainingSince: map[string]time.Time{}, peakMemory: map[string]int{}}
 }
 
-// Answered adds what a caller got of a process.
-func (h *History) Answered(process string, a caller.Answer) {
+// RecordAnswer adds what a caller got of a process.
+func (h *History) RecordAnswer(process string, a caller.Answer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.answers = append(h.answers, answer{a, process})
 }
 
-// Recovered adds what a caller got after all faults had ended.
-func (h *History) Recovered(process string, a caller.Answer) {
+// RecordFinalAnswer adds what a caller got after all faults had ended.
+func (h *History) RecordFinalAnswer(process string, a caller.Answer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.answers = append(h.answers, answer{a, process})
-	h.last = append(h.last, answer{a, process})
+	h.finalAnswers = append(h.finalAnswers, answer{a, process})
 }
 
-// Ran adds what a worker saw.
-func (h *History) Ran(id string, seen []worker.Seen) {
+// RecordRequests adds what a worker saw.
+func (h *History) RecordRequests(id string, seen []worker.Seen) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, s := range seen {
 		if !strings.HasPrefix(s.Target, "/-/") {
-			h.runs = append(h.runs, run{s, id})
+			h.requests = append(h.requests, request{s, id})
 		}
 	}
 }
 
-// Hurt adds that something was hurt for a while.
-func (h *History) Hurt(what Hurt, from, to time.Time) {
+// RecordFault adds that something was hurt for a while.
+func (h *History) RecordFault(target Target, from, to time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.hurt[what] = append(h.hurt[what], window{from: from, to: to})
+	h.faults[target] = append(h.faults[target], interval{from: from, to: to})
 }
 
-// Ended adds that a process has ended, as it was told to, and when the next one serves.
-func (h *History) Ended(process string, from, to time.Time) {
+// RecordShutdown adds that a process has ended, as it was told to, and when the next one serves.
+func (h *History) RecordShutdown(process string, from, to time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.hurt[Hurt(process)] = append(h.hurt[Hurt(process)], window{from: from, to: to, ordered: true})
+	h.faults[Target(process)] = append(h.faults[Target(process)], interval{from: from, to: to, shutdown: true})
 }
 
-// Left adds that a worker said that it leaves.
-func (h *History) Left(id string, at time.Time) {
+// RecordDraining adds that a worker said that it leaves.
+func (h *History) RecordDraining(id string, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.left[id] = at
+	h.drainingSince[id] = at
 }
 
-// Limited adds that a worker named in its answers how many requests a second it takes.
-func (h *History) Limited(id string, rate float64, from, to time.Time) {
+// RecordRateLimit adds that a worker named in its answers how many requests a second it takes.
+func (h *History) RecordRateLimit(id string, rate float64, from, to time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.limited = append(h.limited, limit{id, rate, from, to})
+	h.rateLimits = append(h.rateLimits, rateLimit{id, rate, from, to})
 }
 
-// Occupied adds what a process occupies.
-func (h *History) Occupied(process string, megabytes int) {
+// RecordMemory adds what a process occupies.
+func (h *History) RecordMemory(process string, megabytes int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.memory[process] = max(h.memory[process], megabytes)
+	h.peakMemory[process] = max(h.peakMemory[process], megabytes)
 }
 
 // RequestCounts returns how many requests there were, and how many of them were served.
@@ -159,54 +159,54 @@
 func (h *History) Breaches() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	ran := map[string][]run{}
-	for _, r := range h.runs {
+	executions := map[string][]request{}
+	for _, r := range h.requests {
 		if r.Ran {
-			ran[r.ID] = append(ran[r.ID], r)
+			executions[r.ID] = append(executions[r.ID], r)
 		}
 	}
 	var found []string
 	for _, a := range h.answers {
-		found = append(found, h.once(a, ran[a.ID])...)
-		found = append(found, own(a, ran[a.ID])...)
-		found = append(found, notRun(a, ran[a.ID])...)
-		found = append(found, h.inTime(a)...)
-		found = append(found, h.kept(a)...)
+		found = append(found, h.checkAtMostOnce(a, executions[a.ID])...)
+		found = append(found, checkOwnAnswer(a, executions[a.ID])...)
+		found = append(found, checkRefusal(a, executions[a.ID])...)
+		found = append(found, h.checkTimeout(a)...)
+		found = append(found, h.checkAnswered(a)...)
 	}
-	found = append(found, h.leaving()...)
-	found = append(found, h.toldLeaving()...)
-	found = append(found, h.rates()...)
-	found = append(found, h.budget()...)
-	found = append(found, h.served()...)
-	return append(found, h.bounded()...)
+	found = append(found, h.checkDraining()...)
+	found = append(found, h.checkDrainFeedback()...)
+	found = append(found, h.checkRateLimits()...)
+	found = append(found, h.checkRetryBudget()...)
+	found = append(found, h.checkRecovery()...)
+	return append(found, h.checkMemory()...)
 }
 
 // once: what must not run twice does not.
-func (h *History) once(a answer, runs []run) []string {
-	if a.Kind != caller.Unsafe || len(runs) < 2 {
+func (h *History) checkAtMostOnce(a answer, executions []request) []string {
+	if a.Kind != caller.Unsafe || len(executions) < 2 {
 		return nil
 	}
-	return say("%s ran %d times, at %s and %s", a.ID, len(runs), runs[0].worker, runs[1].worker)
+	return finding("%s ran %d times, at %s and %s", a.ID, len(executions), executions[0].worker, executions[1].worker)
 }
 
 // own: a success is the whole answer to the caller's own request.
-func own(a answer, runs []run) []string {
+func checkOwnAnswer(a answer, executions []request) []string {
 	if a.Status != 200 || a.Err != nil {
 		return nil
 	}
 	if a.Kind == caller.Stream {
-		if want := events(a.ID); a.Body != want {
-			return say("%s got as whole %q", a.ID, a.Body)
+		if want := streamBody(a.ID); a.Body != want {
+			return finding("%s got as whole %q", a.ID, a.Body)
 		}
 		return nil
 	}
-	if !slices.ContainsFunc(runs, func(r run) bool { return a.Body == r.worker+" answers "+a.ID }) {
-		return say("%s got as its own %q", a.ID, a.Body)
+	if !slices.ContainsFunc(executions, func(r request) bool { return a.Body == r.worker+" answers "+a.ID }) {
+		return finding("%s got as its own %q", a.ID, a.Body)
 	}
 	return nil
 }
 
-func events(id string) string {
+func streamBody(id string) string {
 	var b strings.Builder
 	for n := 1; n <= worker.Events; n++ {
 		fmt.Fprintf(&b, "id: %d\ndata: part %d of %s\n\n", n, n, id)
@@ -215,61 +215,61 @@
 }
 
 // notRun: a refusal that no worker signed says that the request has not run.
-func notRun(a answer, runs []run) []string {
-	refuses := a.Status == 429 || a.Status == 503 || a.Status == 408 || a.Status == 421
-	if !refuses || a.Seal != "" || len(runs) == 0 {
+func checkRefusal(a answer, executions []request) []string {
+	isRefusal := a.Status == 429 || a.Status == 503 || a.Status == 408 || a.Status == 421
+	if !isRefusal || a.Seal != "" || len(executions) == 0 {
 		return nil
 	}
-	return say("%s was refused with %d as not run, and ran at %s", a.ID, a.Status, runs[0].worker)
+	return finding("%s was refused with %d as not run, and ran at %s", a.ID, a.Status, executions[0].worker)
 }
 
 // inTime: the final answer is there by the time limit, where the process ran all the while.
-func (h *History) inTime(a answer) []string {
-	limit := h.terms.Timeouts[a.Kind] + h.terms.Late
-	if took := a.Ended.Sub(a.Asked); took > limit && !h.overlaps(Hurt(a.process), a.Asked, a.Ended) {
-		return say("%s had its final answer (%d) after %v, of %v", a.ID, a.Status, took, limit)
+func (h *History) checkTimeout(a answer) []string {
+	limit := h.bounds.Timeouts[a.Kind] + h.bounds.Tolerance
+	if latency := a.Ended.Sub(a.Asked); latency > limit && !h.overlaps(Target(a.process), a.Asked, a.Ended) {
+		return finding("%s had its final answer (%d) after %v, of %v", a.ID, a.Status, latency, limit)
 	}
 	return nil
 }
 
 // kept: no caller is left without an answer by a process that ran all the while.
-func (h *History) kept(a answer) []string {
-	excused := slices.ContainsFunc(h.hurt[Hurt(a.process)], func(w window) bool {
-		return w.overlaps(a.Asked, a.Ended) && !(w.ordered && a.Asked.Before(w.from))
+func (h *History) checkAnswered(a answer) []string {
+	excused := slices.ContainsFunc(h.faults[Target(a.process)], func(w interval) bool {
+		return w.overlaps(a.Asked, a.Ended) && !(w.shutdown && a.Asked.Before(w.from))
 	})
 	if a.Status != 0 || !a.Connected() || excused {
 		return nil
 	}
-	return say("%s was left without an answer by %s: %v", a.ID, a.process, a.Err)
+	return finding("%s was left without an answer by %s: %v", a.ID, a.process, a.Err)
 }
 
 // leaving: nothing is sent to a worker that has said that it leaves, once all that
 // could keep the process from knowing it has been well for long enough.
-func (h *History) leaving() []string {
-	known := h.terms.Leaving + h.terms.Late
-	process := map[string]string{}
+func (h *History) checkDraining() []string {
+	drainBound := h.bounds.Drain + h.bounds.Tolerance
+	processOf := map[string]string{}
 	for _, a := range h.answers {
-		process[a.ID] = a.process
+		processOf[a.ID] = a.process
 	}
-	for _, r := range h.runs {
-		left, leaves := h.left[r.worker]
-		since := r.At.Add(-known)
-		if !leaves || since.Before(left) {
+	for _, r := range h.requests {
+		drainingSince, draining := h.drainingSince[r.worker]
+		windowStart := r.At.Add(-drainBound)
+		if !draining || windowStart.Before(drainingSince) {
 			continue
 		}
-		if h.overlaps(Store, since, r.At) || h.overlaps(Hurt(r.worker), since, r.At) || h.overlaps(Hurt(process[r.ID]), since, r.At) {
+		if h.overlaps(Store, windowStart, r.At) || h.overlaps(Target(r.worker), windowStart, r.At) || h.overlaps(Target(processOf[r.ID]), windowStart, r.At) {
 			continue
 		}
-		return say("%s was sent to %s %v after it had said that it leaves", r.ID, r.worker, r.At.Sub(left))
+		return finding("%s was sent to %s %v after it had said that it leaves", r.ID, r.worker, r.At.Sub(drainingSince))
 	}
 	return nil
 }
 
 // budget: what is sent beyond first attempts is bounded.
-func (h *History) budget() []string {
+func (h *History) checkRetryBudget() []string {
 	attempts := map[string]int{}
-	end := h.begun
-	for _, r := range h.runs {
+	end := h.start
+	for _, r := range h.requests {
 		if !r.Reads {
 			attempts[r.ID]++
 		}
@@ -277,21 +277,21 @@
 			end = r.At
 		}
 	}
-	more := 0
+	retries := 0
 	for _, n := range attempts {
-		more += n - 1
+		retries += n - 1
 	}
-	windows := 1 + int(end.Sub(h.begun)/h.terms.Window)
-	if allowed := h.terms.Ratio*float64(len(h.answers)) + float64(windows*h.terms.Slack); float64(more) > allowed {
-		return say("%d attempts beyond the first, of %.0f", more, allowed)
+	windows := 1 + int(end.Sub(h.start)/h.bounds.RetryWindow)
+	if allowed := h.bounds.RetryRatio*float64(len(h.answers)) + float64(windows*h.bounds.RetrySlack); float64(retries) > allowed {
+		return finding("%d attempts beyond the first, of %.0f", retries, allowed)
 	}
 	return nil
 }
 
 // served: after the last fault every process serves.
-func (h *History) served() []string {
+func (h *History) checkRecovery() []string {
 	var found []string
-	for _, a := range h.last {
+	for _, a := range h.finalAnswers {
 		if a.Status != 200 || a.Err != nil {
 			found = append(found, fmt.Sprintf("%s was not served by %s after all faults had ended: %d, %v", a.ID, a.process, a.Status, a.Err))
 		}
@@ -300,20 +300,20 @@
 }
 
 // bounded: no process occupies more than it is given.
-func (h *History) bounded() []string {
+func (h *History) checkMemory() []string {
 	var found []string
-	for process, megabytes := range h.memory {
-		if megabytes > h.terms.Megabytes {
-			found = append(found, fmt.Sprintf("%s occupied %d MB of %d", process, megabytes, h.terms.Megabytes))
+	for process, megabytes := range h.peakMemory {
+		if megabytes > h.bounds.MemoryMegabytes {
+			found = append(found, fmt.Sprintf("%s occupied %d MB of %d", process, megabytes, h.bounds.MemoryMegabytes))
 		}
 	}
 	return found
 }
 
-func (h *History) overlaps(what Hurt, from, to time.Time) bool {
-	return slices.ContainsFunc(h.hurt[what], func(w window) bool { return w.overlaps(from, to) })
+func (h *History) overlaps(target Target, from, to time.Time) bool {
+	return slices.ContainsFunc(h.faults[target], func(w interval) bool { return w.overlaps(from, to) })
 }
 
-func (w window) overlaps(from, to time.Time) bool { return w.from.Before(to) && from.Before(w.to) }
+func (w interval) overlaps(from, to time.Time) bool { return w.from.Before(to) && from.Before(w.to) }
 
-func say(format string, args ...any) []string { return []string{fmt.Sprintf(format, args...)} }
+func finding(format string, args ...any) []string { return []string{fmt.Sprintf(format, args...)} }
--- a/internal/soak/program/program.go
+++ b/internal/soak/program/program.go
@@ -72,8 +72,8 @@
 	return p.ended
 }
 
-// Megabytes returns the memory that the process occupies; zero where it has ended.
-func (p *Program) Megabytes() int {
+// MemoryMegabytes returns the memory that the process occupies; zero where it has ended.
+func (p *Program) MemoryMegabytes() int {
 	p.mu.Lock()
 	pid := p.cmd.Process.Pid
 	p.mu.Unlock()
--- a/internal/soak/relay/relay.go
+++ b/internal/soak/relay/relay.go
@@ -28,26 +28,26 @@
 
 const (
 	// lateBy is a round trip between regions that are far apart.
-	lateBy = 150 * time.Millisecond
+	addedDelay = 150 * time.Millisecond
 	// faultPoll is short against every fault.
-	faultPoll = 10 * time.Millisecond
+	faultPollInterval = 10 * time.Millisecond
 	// blockSize holds a whole answer of the stand-ins, so that it comes at once.
-	blockSize   = 16 << 10
-	bitsOfAByte = 8
+	bufferSize  = 16 << 10
+	bitsPerByte = 8
 )
 
 // Relay passes connections on to one address until it is closed.
 type Relay struct {
-	clock    carawayspread.Clock
-	listener net.Listener
-	target   string
-	fault    atomic.Int32
-	answered atomic.Int64
-
-	mu    sync.Mutex
-	conns map[net.Conn]bool
-	rate  float64   // bits a second of all answers; zero for no bound
-	free  time.Time // when the answers that were read are through
+	clock         carawayspread.Clock
+	listener      net.Listener
+	target        string
+	fault         atomic.Int32
+	responseBytes atomic.Int64
+
+	mu        sync.Mutex
+	conns     map[net.Conn]bool
+	bandwidth float64   // bits a second of all answers; zero for no bound
+	freeAt    time.Time // when the answers that were read are through
 }
 
 // New opens a relay to an address.
@@ -68,7 +68,7 @@
 func (r *Relay) SetFault(fault Fault) {
 	r.fault.Store(int32(fault))
 	if fault == Refused {
-		r.reset()
+		r.resetAll()
 	}
 }
 
@@ -76,21 +76,21 @@
 func (r *Relay) LimitBandwidth(bits float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rate, r.free = bits, r.clock.Now()
+	r.bandwidth, r.freeAt = bits, r.clock.Now()
 }
 
 // ResponseBytes returns the bytes of answers that were passed on.
-func (r *Relay) ResponseBytes() int64 { return r.answered.Load() }
+func (r *Relay) ResponseBytes() int64 { return r.responseBytes.Load() }
 
 // Close ends the relay and its connections.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
-	r.reset()
+	r.resetAll()
 }
 
-func (r *Relay) now() Fault { return Fault(r.fault.Load()) }
+func (r *Relay) currentFault() Fault { return Fault(r.fault.Load()) }
 
-func (r *Relay) reset() {
+func (r *Relay) resetAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for conn := range r.conns {
@@ -112,32 +112,32 @@
 		if err != nil {
 			return
 		}
-		if r.now() == Refused {
+		if r.currentFault() == Refused {
 			reset(conn)
 			continue
 		}
-		go r.carry(conn)
+		go r.forward(conn)
 	}
 }
 
-func (r *Relay) carry(conn net.Conn) {
-	far, err := net.Dial("tcp4", r.target)
+func (r *Relay) forward(conn net.Conn) {
+	upstream, err := net.Dial("tcp4", r.target)
 	if err != nil {
 		reset(conn)
 		return
 	}
-	r.hold(conn, far)
-	var both sync.WaitGroup
-	both.Go(func() { r.copy(far, conn, true) })
-	both.Go(func() { r.copy(conn, far, false) })
-	both.Wait()
+	r.track(conn, upstream)
+	var directions sync.WaitGroup
+	directions.Go(func() { r.copy(upstream, conn, true) })
+	directions.Go(func() { r.copy(conn, upstream, false) })
+	directions.Wait()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.conns, conn)
-	delete(r.conns, far)
+	delete(r.conns, upstream)
 }
 
-func (r *Relay) hold(conns ...net.Conn) {
+func (r *Relay) track(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, conn := range conns {
@@ -146,17 +146,17 @@
 }
 
 // copy passes on what one side sends, and its end.
-func (r *Relay) copy(to, from net.Conn, asks bool) {
-	block := make([]byte, blockSize)
+func (r *Relay) copy(to, from net.Conn, isRequest bool) {
+	buffer := make([]byte, bufferSize)
 	for {
-		n, err := from.Read(block)
+		n, err := from.Read(buffer)
 		if n > 0 {
-			r.wait(asks)
-			if !asks {
-				r.queue(n)
-				r.answered.Add(int64(n))
+			r.applyFault(isRequest)
+			if !isRequest {
+				r.throttle(n)
+				r.responseBytes.Add(int64(n))
 			}
-			if _, failed := to.Write(block[:n]); failed != nil {
+			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
 				reset(from)
 				return
 			}
@@ -175,28 +175,28 @@
 }
 
 // wait returns when what was read may go on.
-func (r *Relay) wait(asks bool) {
-	if r.now() == Delayed {
-		<-r.clock.After(lateBy)
+func (r *Relay) applyFault(isRequest bool) {
+	if r.currentFault() == Delayed {
+		<-r.clock.After(addedDelay)
 	}
-	for fault := r.now(); fault == Silent || fault == OneWay && !asks; fault = r.now() {
-		<-r.clock.After(faultPoll)
+	for fault := r.currentFault(); fault == Silent || fault == OneWay && !isRequest; fault = r.currentFault() {
+		<-r.clock.After(faultPollInterval)
 	}
 }
 
 // queue returns when that many bytes are through behind what came before.
-func (r *Relay) queue(n int) {
+func (r *Relay) throttle(n int) {
 	r.mu.Lock()
-	if r.rate == 0 {
+	if r.bandwidth == 0 {
 		r.mu.Unlock()
 		return
 	}
 	now := r.clock.Now()
-	if r.free.Before(now) {
-		r.free = now
+	if r.freeAt.Before(now) {
+		r.freeAt = now
 	}
-	r.free = r.free.Add(time.Duration(float64(n) * bitsOfAByte / r.rate * float64(time.Second)))
-	wait := r.free.Sub(now)
+	r.freeAt = r.freeAt.Add(time.Duration(float64(n) * bitsPerByte / r.bandwidth * float64(time.Second)))
+	wait := r.freeAt.Sub(now)
 	r.mu.Unlock()
 	<-r.clock.After(wait)
 }
--- a/internal/soak/schedule/schedule.go
+++ b/internal/soak/schedule/schedule.go
@@ -39,18 +39,18 @@
 )
 
 // rare come once in some seconds, drawn apart from the others.
-var rare = []Kind{Restore, Leaving, Limited}
+var rareKinds = []Kind{Restore, Leaving, Limited}
 
 // sizes are how many routes that nobody uses a configuration holds.
-var sizes = []int{0, 0, 3000, 12000}
+var idleRouteCounts = []int{0, 0, 3000, 12000}
 
-var kinds = []Kind{
+var commonKinds = []Kind{
 	Kill, Kill, KillAll, Replace, Replace, Pause, Pause, Reload, Delayed, Silent, OneWay, Refused,
 	StoreDown, StoreSilent, StoreForgot, Misbehave, Misbehave, Misbehave, Drain, Drain, Routes, Routes,
 }
 
 // stops have many orders to end meet requests that workers hold.
-var stops = []Kind{
+var stopKinds = []Kind{
 	Replace, Replace, Replace, Replace, Replace, Replace, Misbehave, Misbehave, Misbehave, Misbehave, Misbehave,
 	Silent, Silent, Silent, OneWay,
 }
@@ -58,67 +58,71 @@
 const (
 	// longest is how long one fault lasts at most: callers of the routes wait for
 	// two to four seconds.
-	longest = 2500 * time.Millisecond
+	maxDuration = 2500 * time.Millisecond
 	// apart is the mean time from one step to the next: faults that last one and a
 	// quarter second on the mean overlap, two or three at a time.
-	apart = 450 * time.Millisecond
+	meanInterval = 450 * time.Millisecond
 	// rareApart is the same of those that are drawn apart, and limitedFor the least time
 	// for which a worker names a rate: most of it is left to what is under way.
-	rareApart  = 5 * time.Second
-	limitedFor = 6 * time.Second
+	rareMeanInterval   = 5 * time.Second
+	minLimitedDuration = 6 * time.Second
 	// unlistedFor is the least time for which a worker that leaves is listed as ready:
 	// longer than what processes have to stop in.
-	unlistedFor = 4 * time.Second
+	minUnlistedDuration = 4 * time.Second
 )
 
 // Step is one fault.
 type Step struct {
-	At, For time.Duration
-	Kind    Kind
-	Which   int // gateway or worker, to be taken modulo their number
-	Draw    uint64
+	At, Duration time.Duration
+	Kind         Kind
+	Which        int // gateway or worker, to be taken modulo their number
+	Random       uint64
 }
 
 // Schedule is what happens in one soak.
 type Schedule struct {
-	seed  uint64
-	steps []Step
-	idle  int
+	seed       uint64
+	steps      []Step
+	idleRoutes int
 }
 
 // Generate returns the schedule of a seed, for so long.
-func Generate(seed uint64, length time.Duration) *Schedule { return draw(seed, length, kinds) }
+func Generate(seed uint64, length time.Duration) *Schedule {
+	return generate(seed, length, commonKinds)
+}
 
 // GenerateStops returns a schedule in which most faults are orders to end, and workers that
 // hold requests.
-func GenerateStops(seed uint64, length time.Duration) *Schedule { return draw(seed, length, stops) }
+func GenerateStops(seed uint64, length time.Duration) *Schedule {
+	return generate(seed, length, stopKinds)
+}
 
-func draw(seed uint64, length time.Duration, often []Kind) *Schedule {
+func generate(seed uint64, length time.Duration, common []Kind) *Schedule {
 	s := &Schedule{seed: seed}
-	s.draw(rand.New(rand.NewPCG(seed, 0)), length, apart, often)
-	s.draw(rand.New(rand.NewPCG(seed, 1)), length, rareApart, rare)
+	s.addSteps(rand.New(rand.NewPCG(seed, 0)), length, meanInterval, common)
+	s.addSteps(rand.New(rand.NewPCG(seed, 1)), length, rareMeanInterval, rareKinds)
 	r := rand.New(rand.NewPCG(seed, 2))
-	s.idle = sizes[r.IntN(len(sizes))]
-	s.draw(r, length, rareApart, []Kind{Narrow})
+	s.idleRoutes = idleRouteCounts[r.IntN(len(idleRouteCounts))]
+	s.addSteps(r, length, rareMeanInterval, []Kind{Narrow})
 	slices.SortStableFunc(s.steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 	return s
 }
 
-func (s *Schedule) draw(r *rand.Rand, length, apart time.Duration, kinds []Kind) {
+func (s *Schedule) addSteps(r *rand.Rand, length, interval time.Duration, kinds []Kind) {
 	for at := time.Duration(0); ; {
-		at += time.Duration(r.ExpFloat64() * float64(apart))
+		at += time.Duration(r.ExpFloat64() * float64(interval))
 		if at >= length {
 			return
 		}
 		step := Step{
-			At: at.Truncate(time.Millisecond), For: time.Duration(r.Float64() * float64(longest)).Truncate(time.Millisecond),
-			Kind: kinds[r.IntN(len(kinds))], Which: r.IntN(1 << 16), Draw: r.Uint64(),
+			At: at.Truncate(time.Millisecond), Duration: time.Duration(r.Float64() * float64(maxDuration)).Truncate(time.Millisecond),
+			Kind: kinds[r.IntN(len(kinds))], Which: r.IntN(1 << 16), Random: r.Uint64(),
 		}
 		switch step.Kind {
 		case Limited:
-			step.For += limitedFor
+			step.Duration += minLimitedDuration
 		case Leaving:
-			step.For += unlistedFor
+			step.Duration += minUnlistedDuration
 		}
 		s.steps = append(s.steps, step)
 	}
@@ -128,7 +132,7 @@
 func (s *Schedule) Seed() uint64 { return s.seed }
 
 // IdleRoutes returns how many routes that nobody uses the configuration holds.
-func (s *Schedule) IdleRoutes() int { return s.idle }
+func (s *Schedule) IdleRoutes() int { return s.idleRoutes }
 
 // Steps returns the steps in their order.
 func (s *Schedule) Steps() []Step { return slices.Clone(s.steps) }
@@ -136,9 +140,9 @@
 // String returns the schedule, a step a line.
 func (s *Schedule) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "seed %d, %d idle routes\n", s.seed, s.idle)
+	fmt.Fprintf(&b, "seed %d, %d idle routes\n", s.seed, s.idleRoutes)
 	for _, step := range s.steps {
-		fmt.Fprintf(&b, "%v %s which=%d for=%v\n", step.At, step.Kind, step.Which, step.For)
+		fmt.Fprintf(&b, "%v %s which=%d for=%v\n", step.At, step.Kind, step.Which, step.Duration)
 	}
 	return b.String()
 }
