--- a/internal/measure/engine_test.go
+++ b/internal/measure/engine_test.go
@@ -12,7 +12,7 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// sim runs events in the order of their time. It is the clock of all modules.
+// sim is a discrete-event simulation. It is the clock of all modules.
 type sim struct {
 	now    time.Duration
 	events events
@@ -21,7 +21,7 @@
 
 type event struct {
 	at  time.Duration
-	seq int // events of one moment run in the order in which they were set
+	seq int // events of the same time run in the order in which they were added
 	run func()
 }
 
@@ -48,7 +48,7 @@
 	heap.Push(&s.events, event{s.now + d, s.seq, run})
 }
 
-// every runs f after each period until the run ends.
+// every runs f after each period until the simulation ends.
 func (s *sim) every(period time.Duration, f func()) {
 	s.in(period, func() { f(); s.every(period, f) })
 }
@@ -61,20 +61,20 @@
 	}
 }
 
-// hardware gives the speeds of one kind of endpoint.
+// hardware holds the speeds and limits of one kind of endpoint.
 type hardware struct {
-	prefillRate           float64       // prompt tokens a second
-	baseGap, gapPerAnswer time.Duration // gap between tokens: base + step for each running answer
+	prefillRate           float64       // prompt tokens per second
+	baseGap, gapPerAnswer time.Duration // time between tokens: baseGap + gapPerAnswer for each running answer
 	slots                 int
-	decodeLoss            float64 // part of the decode speed lost while a prompt is prefilled
-	mixedPrefillFactor    float64 // prefill speed while answers run
-	cachedPrefixes        int     // prompt prefixes that the cache holds
+	decodeLoss            float64 // fraction of the decode speed lost while a prompt is prefilled
+	mixedPrefillFactor    float64 // relative prefill speed while answers are decoded
+	cachedPrefixes        int     // capacity of the prefix cache
 	transferPerToken      time.Duration
-	changeDowntime        time.Duration // seconds lost to a role change
+	changeDowntime        time.Duration // out of service for a role change
 }
 
-// gpu prefills in chunks of 2,048 tokens, 256 ms each: a batch whose step takes
-// 40 ms decodes at 40/296 of its speed meanwhile, and the chunk at 256/296.
+// gpu prefills in chunks of 2,048 tokens, 256 ms each. Meanwhile a batch whose
+// step takes 40 ms decodes at 40/296 of its speed, and the chunk prefills at 256/296.
 var gpu = hardware{
 	prefillRate: 8000, baseGap: 12 * time.Millisecond, gapPerAnswer: 700 * time.Microsecond, slots: 64,
 	decodeLoss: 0.85, mixedPrefillFactor: 0.85, cachedPrefixes: 12,
@@ -84,8 +84,8 @@
 
 var records = hardware{prefillRate: 1e9, baseGap: time.Millisecond, gapPerAnswer: 100 * time.Microsecond, slots: 16, mixedPrefillFactor: 1, cachedPrefixes: 1}
 
-// engine is a fake endpoint. Between two events all of its answers decode at
-// one rate, so that a single counter of tokens tells when each one ends.
+// engine is a fake endpoint. Between two events it decodes all of its answers at
+// the same rate, so that a single counter of tokens determines when each one ends.
 type engine struct {
 	*sim
 	id       carawayspread.EndpointID
@@ -93,17 +93,17 @@
 	speed    float64 // 1 is full speed
 	role     carawayspread.Role
 	changing bool
-	nextRole carawayspread.Role // while changing
+	nextRole carawayspread.Role // the role after a change under way
 
-	updatedAt      time.Duration // when counters were last brought up to date
-	decodedTokens  float64       // tokens that an answer running since the start would have
-	prompts        []*call       // by priority; the first one is prefilled, until one more urgent arrives
-	promptLeft     float64       // prompt tokens left of the first
+	updatedAt      time.Duration // when the counters were last advanced
+	decodedTokens  float64       // tokens that an answer running since the start would have by now
+	prompts        []*call       // by priority; the first one is prefilled, until a more urgent one arrives
+	promptLeft     float64       // prompt tokens left to prefill of the first one
 	running        byEnd
-	waiting        []*call // for a slot
+	waiting        []*call // for a decode slot
 	cache          *lru.Cache[uint64, bool]
-	planGeneration int    // outdates events set earlier
-	onPromptsDone  func() // runs once no prompt is left
+	planGeneration int    // invalidates events scheduled earlier
+	onPromptsDone  func() // runs when no prompt is left
 }
 
 func newEngine(s *sim, id carawayspread.EndpointID, hw hardware) *engine {
@@ -124,7 +124,7 @@
 	return x
 }
 
-// gap returns the time between two tokens now.
+// tokenGap returns the current time between two tokens, in seconds.
 func (e *engine) tokenGap() float64 {
 	g := (e.hw.baseGap + time.Duration(len(e.running))*e.hw.gapPerAnswer).Seconds() / e.speed
 	if len(e.prompts) > 0 {
@@ -140,7 +140,7 @@
 	return e.hw.prefillRate * e.speed
 }
 
-// touch brings the counters up to date; it comes before every change.
+// advance brings the counters up to the current time; it must precede every change.
 func (e *engine) advance() {
 	dt := (e.now - e.updatedAt).Seconds()
 	e.updatedAt = e.now
@@ -152,7 +152,7 @@
 	}
 }
 
-// plan sets the event of what ends next; it comes after every change.
+// scheduleNext schedules the event of what ends next; it must follow every change.
 func (e *engine) scheduleNext() {
 	e.planGeneration++
 	next := -1.0
@@ -210,7 +210,7 @@
 	}
 }
 
-// submit takes a prompt; false is a refusal that proves that it did not run.
+// submit accepts a prompt for prefill. False is a refusal: the request didn't run.
 func (e *engine) submit(c *call) bool {
 	if e.changing || e.role == carawayspread.RoleDecode {
 		return false
@@ -241,7 +241,7 @@
 	e.promptLeft = e.prompts[0].remaining
 }
 
-// resume takes an answer whose KV cache has arrived.
+// resumeDecode accepts an answer whose KV cache has been transferred here.
 func (e *engine) resumeDecode(c *call) bool {
 	if e.changing || e.role == carawayspread.RolePrefill {
 		return false
@@ -265,8 +265,9 @@
 	heap.Push(&e.running, c)
 }
 
-// change carries out a role change: no new work, running answers move with
-// their KV cache, the prompt under way ends, and then the engine is away.
+// changeRole changes the role: the engine accepts no new work, its running answers move
+// to other engines with their KV cache, the current prompt is completed, and then the
+// engine is out of service for changeDowntime.
 func (e *engine) changeRole(to carawayspread.Role) {
 	e.advance()
 	e.changing, e.nextRole = true, to
@@ -308,7 +309,7 @@
 func (e *engine) report() carawayspread.EndpointReport {
 	slots := e.hw.slots
 	if e.role == carawayspread.RolePrefill {
-		slots = 4 // prompts one after the other
+		slots = 4 // prefills one prompt after the other
 	}
 	return carawayspread.EndpointReport{
 		Endpoint: e.id, MeasuredAt: e.Now(), Running: len(e.running) + min(1, len(e.prompts)),
--- a/internal/measure/entry_test.go
+++ b/internal/measure/entry_test.go
@@ -23,41 +23,41 @@
 	networkDelay          = time.Millisecond
 	reportInterval        = time.Second
 	reportDelay           = time.Second
-	referencePromptTokens = 256.0 // prompt tokens to whose time the latency of a prefill is scaled
+	referencePromptTokens = 256.0 // prompt length to which the latency of a prefill is scaled
 )
 
-// call is one request with its caller.
+// call is one request and what its caller received.
 type call struct {
 	job            *carawayspread.Job
 	class          int
 	entry          *entry
-	prompt, shared float64 // tokens, and those of the prompt that a prefix cache may hold
+	prompt, shared float64 // tokens, and how many of them a prefix cache may hold
 	answer         float64
 	prefix         uint64
-	priority       int64 // engines prefill the lowest first
+	priority       int64 // engines prefill the lowest value first
 
-	prefillTokens, remaining, endsAt float64       // kept by the engine
-	scheduledAt, sentAt              time.Duration // when the scheduler and the router let it go
+	prefillTokens, remaining, endsAt float64       // tokens; maintained by the engine
+	scheduledAt, sentAt              time.Duration // when the scheduler released it, and when it was sent to an engine
 	firstTokenAt, endedAt            time.Duration
-	hasSlot                          bool // holds a place of the limiter
+	hasSlot                          bool // holds a slot of the limiter
 	refused, failed                  bool
 }
 
-// entry is the part of one entry process that serves one service.
+// entry simulates one entry process for one service.
 type entry struct {
 	*sim
 	run         *run
 	scheduler   carawayspread.Scheduler
 	router      carawayspread.Router
 	ejector     carawayspread.Ejector
-	retryBudget carawayspread.RetryBudget // nil allows all
+	retryBudget carawayspread.RetryBudget // nil allows every retry
 	limiters    map[carawayspread.EndpointID]carawayspread.Limiter
 	inflight    map[carawayspread.EndpointID]int
 	reports     map[carawayspread.EndpointID]carawayspread.EndpointReport
 	engines     map[carawayspread.EndpointID]*engine
 	calls       map[*carawayspread.Job]*call
-	retries     []*call // refused by an engine, to be sent to another
-	handoffs    []*call // prefilled, waiting for an engine that decodes
+	retries     []*call // refused by an engine, to be sent to another one
+	handoffs    []*call // prefilled, waiting for a decode engine
 	queued      map[int]*carawayspread.Cost
 }
 
@@ -122,7 +122,7 @@
 	e.scheduler.Capacity(slots)
 }
 
-// arrive takes a request from its caller.
+// arrive accepts a request from its caller.
 func (e *entry) arrive(c *call) {
 	c.entry = e
 	if e.run.variant.deadlinePriority {
@@ -151,7 +151,7 @@
 	e.run.recordEnd(c)
 }
 
-// pump sends what can be sent now.
+// dispatch sends every call that can be sent now.
 func (e *entry) dispatch() {
 	e.handoffs = slices.DeleteFunc(e.handoffs, func(c *call) bool { return e.tryPlace(c, carawayspread.RolePrefill) })
 	e.retries = slices.DeleteFunc(e.retries, func(c *call) bool { return e.tryPlace(c, carawayspread.RoleDecode) })
@@ -174,8 +174,8 @@
 	}
 }
 
-// place sends a call to an engine whose role is not the one named. An answer
-// that has begun goes before the limit: it can't be refused any more.
+// tryPlace sends a call to an engine that doesn't have the excluded role. An answer
+// that has begun ignores the limiters, because it can't be refused any more.
 func (e *entry) tryPlace(c *call, excludedRole carawayspread.Role) bool {
 	job := *c.job
 	job.Phase = carawayspread.RolePrefill
@@ -213,7 +213,7 @@
 		if submit(c) {
 			return
 		}
-		// The report was late: the sidecar refuses, and nothing ran.
+		// The last report was out of date: the sidecar refuses the call, and nothing ran.
 		e.endAttempt(c, g, 0, carawayspread.OutcomeRefused)
 		e.reports[g.id] = g.report()
 		if excludedRole == carawayspread.RolePrefill {
@@ -236,7 +236,7 @@
 	e.retries = append(e.retries, c)
 }
 
-// left ends one attempt, with its latency where one was measured.
+// endAttempt ends one attempt. The latency is zero if none was measured.
 func (e *entry) endAttempt(c *call, g *engine, latency time.Duration, outcome carawayspread.Outcome) {
 	e.inflight[g.id]--
 	e.router.Ended(g.id, c.job, outcome)
@@ -258,7 +258,7 @@
 	c.handOff(g)
 }
 
-// move hands a prefilled call from one engine to another.
+// handOff moves a prefilled call from one engine to another.
 func (c *call) handOff(g *engine) {
 	e := c.entry
 	latency := time.Duration(0)
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -54,7 +54,7 @@
 	return f
 }
 
-// parts sets the first engines to prefill and the next to decode.
+// splitRoles makes the first engines prefill engines and the next ones decode engines.
 func splitRoles(prefill, decode float64) func([]*engine) {
 	return func(engines []*engine) {
 		n := float64(len(engines))
@@ -91,7 +91,8 @@
 	}
 }
 
-// hindsight returns the best of all static splits, tried with our modules.
+// bestStaticSplit returns the result of the best of several static splits, with the modules
+// that the daemons run.
 func bestStaticSplit(f fleet) result {
 	var candidates []variant
 	for _, s := range [][2]float64{{0, 0}, {.1, 0}, {.1, .2}, {.2, 0}, {.2, .2}, {.2, .4}, {.3, .2}, {.3, .4}, {.3, .5}, {.3, .7}, {.4, .3}, {.4, .5}, {.4, .6}, {.5, .5}} {
@@ -102,7 +103,7 @@
 	return slices.MaxFunc(results, func(a, b result) int { return cmp.Compare(a.workGoodput(), b.workGoodput()) })
 }
 
-// playAll plays the variants, a few at a time.
+// simulateAll simulates the variants, a few at a time.
 func (f fleet) simulateAll(variants []variant) []result {
 	results := make([]result, len(variants))
 	var group errgroup.Group
@@ -114,10 +115,10 @@
 	return results
 }
 
-// Callers of both users send a mix that swings every four minutes. A policy that
-// follows the load takes engines away in every swing: their answers come late.
-// Ours must serve more, with at most half of the changes, and nearly what the
-// best split serves that is chosen with hindsight.
+// Callers of both users send a mix that changes every four minutes. A threshold policy
+// follows the load and takes engines out of service at every change, which delays answers.
+// The forecast policy must serve at least as much with at most half of the role changes, and
+// at least 95% of what the best static split serves that is chosen in hindsight.
 func TestShiftingMix(t *testing.T) {
 	for _, f := range []fleet{toponimiaFleet(), vanuaFleet()} {
 		t.Run(f.name, func(t *testing.T) {
--- a/internal/measure/result_test.go
+++ b/internal/measure/result_test.go
@@ -10,14 +10,14 @@
 	"carawayspread"
 )
 
-// result is what the callers of one run received.
+// result holds what the callers of one run received.
 type result struct {
 	fleet        fleet
 	variant      string
 	changes      int
 	classes      []tally
 	byWorkspace  map[string]*tally // by workspace
-	wastedTokens float64           // tokens of answers that missed
+	wastedTokens float64           // tokens of answers that missed their target
 	totalTokens  float64
 }
 
@@ -26,7 +26,7 @@
 	offered, good, refused, failed int
 	firstTokenTimes, tokenGaps     []float64 // seconds
 	refusalTimes                   []float64 // seconds until refused
-	sharedTokens, cachedTokens     float64   // shared tokens and those found in a cache
+	sharedTokens, cachedTokens     float64   // tokens of shared prefixes, and those found in a cache
 }
 
 func (t tally) goodput() float64 { return float64(t.good) / float64(max(1, t.offered)) }
@@ -56,7 +56,7 @@
 	class.cachedTokens += c.prompt - tokens
 }
 
-// hits returns the part of shared tokens that caches held so far.
+// cacheHitRatio returns the fraction of shared tokens that caches held so far.
 func (r *result) cacheHitRatio(class int) float64 {
 	t := r.classes[class]
 	return t.cachedTokens / max(1, t.sharedTokens)
@@ -93,8 +93,8 @@
 		(t.BetweenTokens() == 0 || gap <= t.BetweenTokens().Seconds())
 }
 
-// all returns the sum over classes; with engines set, only of those that the
-// engines serve.
+// all returns the sum over the classes. If engines is set, it leaves out the classes
+// of the records service.
 func (r result) all(engines bool) tally {
 	var sum tally
 	for k, t := range r.classes {
@@ -114,8 +114,8 @@
 	return sum
 }
 
-// work returns the part of the offered work of the engines, by its cost, whose
-// answers met their target.
+// workGoodput returns the fraction of the engines' offered work, weighted by its cost,
+// whose answers met their target.
 func (r result) workGoodput() float64 {
 	var offered, good float64
 	for k, t := range r.classes {
@@ -127,8 +127,7 @@
 	return good / offered
 }
 
-// jain returns Jain's index over the parts of their requests that workspaces
-// got answered in time.
+// jainIndex returns Jain's fairness index over the goodput of the workspaces.
 func (r result) jainIndex() float64 {
 	var sum, squares float64
 	for _, t := range r.byWorkspace {
@@ -141,7 +140,7 @@
 	return sum * sum / squares / float64(len(r.byWorkspace))
 }
 
-// others returns the goodput of all workspaces but the first.
+// otherGoodput returns the goodput of all workspaces but the first.
 func (r result) otherGoodput() float64 {
 	var sum tally
 	for name, t := range r.byWorkspace {
--- a/internal/measure/run_test.go
+++ b/internal/measure/run_test.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	firstWorkspace = "workspace 0" // the hot one, where one is hot
+	firstWorkspace = "workspace 0" // the hot workspace, if the run has one
 	planInterval   = 5 * time.Second
-	decodeRate     = 1000 // tokens a second of a gpu at 40 ms between tokens
+	decodeRate     = 1000 // tokens per second of a gpu at 40 ms between tokens
 )
 
-// kind is a class of work with the shape of its requests.
+// kind is a request class and the shape of its requests.
 type kind struct {
 	class          carawayspread.Class
-	plain          bool // goes to the records service
+	plain          bool // served by the records service
 	prompt, answer float64
-	sharedPrefix   float64 // tokens of the prompt that requests have in common
-	prefixes       int     // different shared parts
+	sharedPrefix   float64 // tokens of the prompt's shared prefix
+	prefixes       int     // number of different shared prefixes
 }
 
-// cost returns the engine-seconds of a request without a cache.
+// cost returns the average engine-seconds of a request, with half of its shared prefix cached.
 func (k kind) cost() float64 {
 	if k.plain {
 		return 0.006
@@ -32,37 +32,37 @@
 	return (k.prompt-k.sharedPrefix/2)/gpu.prefillRate + k.answer/decodeRate
 }
 
-// fleet is one user's fleet and mixes.
+// fleet is one user's fleet and the request mixes that it serves in turn.
 type fleet struct {
 	name                      string
 	engines, records, entries int
 	workspaces                int
 	kinds                     []kind
-	mixes                     [][]float64 // each the part of the work that each kind brings
+	mixes                     [][]float64 // each the fraction of the work that each kind contributes
 	mixDuration               time.Duration
 	length                    time.Duration
-	utilization               float64 // offered work as a part of what the engines can do
-	hotFactor                 float64 // times its share that workspace 0 sends in addition
+	utilization               float64 // offered work as a fraction of the engines' capacity
+	hotFactor                 float64 // workspace 0 sends its share of requests this many times in addition
 	slowSpeed                 float64 // speed of engine 0; zero means full
-	withdrawn                 int     // engines withdrawn half-way
+	withdrawn                 int     // engines withdrawn halfway through the run
 	seed                      uint64
 }
 
-// arrivals draws the requests of a run; they are the same for every variant.
+// arrivals generates the requests of a run; they are the same for every variant.
 func (f fleet) arrivals() []*call {
 	var calls []*call
 	for k, shape := range f.kinds {
 		rng := rand.New(rand.NewPCG(f.seed, uint64(k)))
 		size := float64(f.engines)
 		if shape.plain {
-			size = 1 // a few lookups a second for each worker
+			size = 1 // a few lookups per second for each worker
 		}
 		for at := time.Duration(0); ; {
 			mix := f.mixes[int(at/f.mixDuration)%len(f.mixes)]
 			rate := f.utilization * size * mix[k] / shape.cost()
 			next := at + time.Duration(rng.ExpFloat64()/rate/(1+f.hotFactor/float64(f.workspaces))*1e9)
 			if next/f.mixDuration > at/f.mixDuration {
-				at = (at/f.mixDuration + 1) * f.mixDuration // the next mix starts: memoryless
+				at = (at/f.mixDuration + 1) * f.mixDuration // the next mix starts; arrivals are memoryless
 				if at >= f.length {
 					break
 				}
@@ -99,27 +99,27 @@
 	return c
 }
 
-// run is one fleet under one variant.
+// run simulates one fleet under one variant.
 type run struct {
 	*sim
 	fleet       fleet
 	variant     variant
 	engines     []*engine
-	entries     []*entry // those before the engines, then those before the records
+	entries     []*entry // those of the model service, then those of the records service
 	policy      carawayspread.RolePolicy
 	roleChanges int
 	arrivedCost map[int]*carawayspread.Cost
 	result      result
 }
 
-// variant is one way to decide: modules of the registries by name, where an
-// empty name is what daemons run.
+// variant is a set of decision modules, named as in the registries. An empty name
+// selects the module that the daemons run.
 type variant struct {
 	name                                string
 	scheduler, router, limiter, ejector string
 	roles                               string
-	retryBudget                         bool // retries are bounded
-	deadlinePriority                    bool // engines are told when each answer is due
+	retryBudget                         bool // bounds retries
+	deadlinePriority                    bool // engines prefill by the deadline of each answer
 	split                               func(engines []*engine)
 }
 
@@ -169,7 +169,7 @@
 	e.arrive(c)
 }
 
-// plan asks the policy with what the entries measured since the last time.
+// planRoles runs the role policy on what the entries measured since the last plan.
 func (r *run) planRoles() {
 	demand := carawayspread.Demand{MeasuredAt: r.Now()}
 	for k, shape := range r.fleet.kinds {
@@ -209,8 +209,8 @@
 	}
 }
 
-// worked counts tokens that engines spent on a call before its answer.
+// recordPrefill counts the tokens that an engine prefilled for a call.
 func (r *run) recordPrefill(c *call, prefilled float64) { r.result.countPrefill(c, prefilled) }
 
-// over takes the final answer of a call.
+// recordEnd counts the final answer of a call.
 func (r *run) recordEnd(c *call) { r.result.add(c) }
--- a/internal/soak/fleet/fleet.go
+++ b/internal/soak/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet runs gateways as processes of their own before stand-ins of the
-// platform, has callers ask them, and injects a schedule's faults meanwhile.
+// Package fleet runs gateways as separate processes against stand-ins of the platform, sends
+// them requests of callers, and injects the faults of a schedule meanwhile.
 package fleet
 
 import (
@@ -25,31 +25,31 @@
 )
 
 const (
-	// grace, leaving and megabytes are what the settings of each gateway grant and
-	// promise; of the order that users grant.
+	// grace, drainBound and memoryMegabytes go into the settings of each gateway: what it is
+	// granted and what it guarantees. They are of the order that users set.
 	grace           = 8 * time.Second
 	drainBound      = 2 * time.Second
 	memoryMegabytes = 100
-	// ratio and slack, in each budget, bound retries of all gateways together.
+	// retryRatio and retrySlack, in each retryWindow, bound the retries of all gateways together.
 	retryRatio  = 0.2
 	retrySlack  = 50
 	retryWindow = 10 * time.Second
-	// late is how much later than promised something may be seen on a busy machine.
+	// tolerance is how much later than guaranteed something may be observed on a busy machine.
 	tolerance = time.Second
-	// plainWorkers, readers and answerers serve; one of each more than is needed, so
-	// that a fault of one leaves another.
+	// There is one worker more than needed of each of plainWorkers, prefillWorkers and
+	// decodeWorkers, so that a fault of one leaves another.
 	plainWorkers, prefillWorkers, decodeWorkers = 4, 2, 3
-	// callersEach and thinking give each gateway some 200 requests a second.
+	// callersPerGateway and meanThinkTime give each gateway some 200 requests per second.
 	callersPerGateway = 4
 	meanThinkTime     = 15 * time.Millisecond
 )
 
-// timeouts are those of the routes.
+// timeouts are the timeouts of the routes.
 var timeouts = map[caller.Kind]time.Duration{
 	caller.Safe: 2 * time.Second, caller.Unsafe: 2 * time.Second, caller.Stream: 4 * time.Second,
 }
 
-// Fleet is gateways with everything round them.
+// Fleet holds the gateways, their workers and the store.
 type Fleet struct {
 	clock      carawayspread.Clock
 	history    *history.History
@@ -61,30 +61,30 @@
 
 	mu              sync.Mutex
 	workers         []*listedWorker
-	allWorkers      []*listedWorker // those that left too
+	allWorkers      []*listedWorker // including drained ones
 	version         int
 	seq             int
-	injectionErrors []error // of injecting, not of the programs
+	injectionErrors []error // of the injection itself, not of the gateways
 }
 
-// gateway is one gateway.
+// gateway is one gateway process.
 type gateway struct {
 	name    string
 	listen  string
 	program *program.Program
-	faultMu sync.Mutex // one fault of the process at a time
+	faultMu sync.Mutex // held during a fault of the process: one at a time
 }
 
-// listed is one worker in the list, behind a relay.
+// listedWorker is one worker in the store's list, behind a relay.
 type listedWorker struct {
 	worker      *worker.Worker
 	relay       *relay.Relay
 	service     string
 	role        string
-	rateLimited atomic.Bool // it names a rate
+	rateLimited atomic.Bool // it reports a rate
 }
 
-// New starts stand-ins and so many gateways of the binary, which log to dir.
+// New starts the stand-ins and size gateways of the binary, which log to dir.
 func New(binary, dir string, size int, clock carawayspread.Clock) (*Fleet, error) {
 	start := clock.Now()
 	f := &Fleet{clock: clock, store: rows.New(), loadStart: start, history: history.New(history.Bounds{
@@ -162,14 +162,14 @@
 	return nil
 }
 
-// ownHost returns a loopback address of this process alone. Another soak, or a connection
-// that leaves from the common one, would take the port of a gateway while it restarts.
+// ownHost returns a loopback address that only this process uses. On a shared address, another
+// soak or an outgoing connection could take the port of a gateway while it restarts.
 func ownHost() string {
 	pid := os.Getpid()
 	return net.IPv4(127, 1+byte(pid>>16&0x3f), byte(pid>>8), byte(pid)).String()
 }
 
-// freePorts returns addresses on loopback that nobody listens on.
+// freeAddresses returns loopback addresses, with ports, on which nobody listens.
 func freeAddresses(n int) ([]string, error) {
 	var addresses []string
 	for range n {
@@ -183,7 +183,7 @@
 	return addresses, nil
 }
 
-// Close ends what was started.
+// Close stops everything that New started.
 func (f *Fleet) Close() {
 	for _, g := range f.gateways {
 		g.program.Close()
@@ -200,10 +200,10 @@
 	}
 }
 
-// History returns what was seen; of workers after Run.
+// History returns the observations. It has those of the workers only after Run.
 func (f *Fleet) History() *history.History { return f.history }
 
-// collect adds what the workers saw.
+// collectRequests records what the workers received.
 func (f *Fleet) collectRequests() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -212,7 +212,7 @@
 	}
 }
 
-// InjectionErrors returns what went wrong with the injecting itself.
+// InjectionErrors returns the errors of the fault injection itself.
 func (f *Fleet) InjectionErrors() []error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/soak/fleet/inject.go
+++ b/internal/soak/fleet/inject.go
@@ -15,35 +15,35 @@
 )
 
 const (
-	// restart is how long a platform takes to start a process that has ended.
+	// restartDelay is how long a platform takes to restart a process that has exited.
 	restartDelay = 300 * time.Millisecond
-	// started is how long a process that starts may not be ready yet: its first
-	// reads of the store, with one that fails.
+	// startupTime is how long a starting process may not be ready yet: the time of its first
+	// reads of the store, one of which fails.
 	startupTime = 2 * time.Second
-	// mostMisbehaved is for how many requests a worker misbehaves at most: enough
-	// that some of them are of each kind.
+	// maxMisbehaviours is for how many requests a worker misbehaves at most: enough that
+	// they include requests of each kind.
 	maxMisbehaviours = 60
 )
 
-// narrow is the link of a small instance, in bits a second.
+// smallInstanceLink is the bandwidth of a small instance, in bits per second.
 const smallInstanceLink = 10e6
 
-// rates are those that workers name, in requests a second.
+// rateLimits are the rates that workers report, in requests per second.
 var rateLimits = []float64{0.5, 2.2, 4}
 
-// faults are what the steps do to the way to a worker.
+// relayFaults are the faults that steps inject into the connections to a worker.
 var relayFaults = map[schedule.Kind]relay.Fault{
 	schedule.Delayed: relay.Delayed, schedule.Silent: relay.Silent,
 	schedule.OneWay: relay.OneWay, schedule.Refused: relay.Refused,
 }
 
-// behaviours are those in which workers do not answer as they should.
+// behaviours are the ways in which workers answer wrongly or not at all.
 var behaviours = []worker.Behaviour{
 	worker.Refuse, worker.Bare503, worker.Break, worker.Cut, worker.Crossed, worker.Unsealed,
 	worker.Error500, worker.Extra, worker.Hang, worker.Misdirected, worker.LostHandle, worker.SlowEvents,
 }
 
-// inject carries out a schedule and returns when its last fault has ended.
+// inject runs a schedule and returns when its last fault has ended.
 func (f *Fleet) inject(s *schedule.Schedule) {
 	var all sync.WaitGroup
 	for _, step := range s.Steps() {
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// hurt lets a fault last and records it.
+// runFault begins a fault, ends it after d and records it.
 func (f *Fleet) runFault(target history.Target, d time.Duration, begin, end func()) {
 	from := f.clock.Now()
 	begin()
@@ -111,8 +111,8 @@
 	f.history.RecordFault(target, from, f.clock.Now())
 }
 
-// end ends a process by a signal and starts the next one. What an order to end
-// leaves without an answer is a finding; what a kill does is not.
+// restartGateway stops a process by a signal and starts the next one. A request that gets no
+// answer because of a SIGTERM is a finding; one lost to a SIGKILL is not.
 func (f *Fleet) restartGateway(g *gateway, s syscall.Signal) error {
 	g.faultMu.Lock()
 	defer g.faultMu.Unlock()
--- a/internal/soak/fleet/load.go
+++ b/internal/soak/fleet/load.go
@@ -15,27 +15,28 @@
 )
 
 const (
-	// readyWithin is ample for programs that start on a busy machine.
+	// readyTimeout is ample for programs that start on a busy machine.
 	readyTimeout      = 10 * time.Second
 	readyPollInterval = 50 * time.Millisecond
-	// calm is the time after the last fault in which everything may come to rest:
-	// the longest timeout of a route, and some reads of the list.
+	// settleTime is how long the system may take to recover after the last fault: the
+	// longest timeout of a route, and some reads of the list.
 	settleTime = 6 * time.Second
-	// mischief is how much longer workers misbehave where they still have to.
+	// misbehaviourTime is how much longer, after the schedule, workers carry out the
+	// misbehaviour that is still pending.
 	misbehaviourTime = 3 * time.Second
-	// refusedPause is what a caller waits that found nobody at its gateway.
+	// reconnectDelay is how long a caller waits that couldn't connect to its gateway.
 	reconnectDelay = 50 * time.Millisecond
-	// lastAsked is how often each gateway is asked for each kind at the end: more
-	// often than it has workers of a service, so that each of them is met.
+	// finalRequestsPerKind is how many requests of each kind each gateway gets at the end: more
+	// than there are workers of a service, so that each worker gets one.
 	finalRequestsPerKind = 5
-	// memoryPoll is short against the seconds in which memory would grow too far.
+	// memoryPollInterval is short compared with the seconds in which memory would grow too far.
 	memoryPollInterval = 500 * time.Millisecond
 )
 
 var callerKinds = []caller.Kind{caller.Safe, caller.Unsafe, caller.Stream}
 
-// Run waits until all gateways serve, plays the schedule under load, and asks each
-// gateway once more after all faults have ended.
+// Run waits until all gateways serve, runs the schedule under load, and sends each gateway
+// final requests after all faults have ended.
 func (f *Fleet) Run(ctx context.Context, s *schedule.Schedule) error {
 	if err := f.waitReady(); err != nil {
 		return err
@@ -67,7 +68,7 @@
 	return ctx.Err()
 }
 
-// ready waits until each gateway says that it serves.
+// waitReady waits until each gateway serves a request.
 func (f *Fleet) waitReady() error {
 	for _, g := range f.gateways {
 		deadline := f.clock.Now().Add(readyTimeout)
@@ -85,7 +86,8 @@
 	return nil
 }
 
-// ask sends one request after the other. The one under way when ctx ends gets its answer.
+// sendRequests sends one request after the other until ctx ends. A request in flight at that
+// time still gets its answer.
 func (f *Fleet) sendRequests(ctx context.Context, g *gateway, rng *rand.Rand, name string) {
 	c := caller.New(g.listen)
 	for n := 0; ctx.Err() == nil; n++ {
@@ -99,7 +101,7 @@
 	}
 }
 
-// watch notes what a gateway's process occupies.
+// watchMemory records the resident memory of a gateway's process until ctx ends.
 func (f *Fleet) watchMemory(ctx context.Context, g *gateway) {
 	for ctx.Err() == nil {
 		f.history.RecordMemory(g.name, g.program.MemoryMegabytes())
--- a/internal/soak/fleet/platform.go
+++ b/internal/soak/fleet/platform.go
@@ -14,7 +14,7 @@
 	"carawayspread/internal/standin/worker"
 )
 
-// routes publishes a newer version of the routes.
+// publishRoutes publishes a newer version of the routes.
 func (f *Fleet) publishRoutes() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -22,7 +22,7 @@
 	f.store.Publish(f.version, "model")
 }
 
-// come starts a worker and lists it.
+// addWorker starts a worker and lists it as ready.
 func (f *Fleet) addWorker(service, role string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -31,16 +31,16 @@
 	if err != nil {
 		return err
 	}
-	relayed, err := relay.New(w.Address(), f.clock)
+	workerRelay, err := relay.New(w.Address(), f.clock)
 	if err != nil {
 		return err
 	}
-	p := &listedWorker{worker: w, relay: relayed, service: service, role: role}
+	p := &listedWorker{worker: w, relay: workerRelay, service: service, role: role}
 	f.workers, f.allWorkers = append(f.workers, p), append(f.allWorkers, p)
 	return f.publishWorker(p, "ready")
 }
 
-// list publishes the entry of a worker.
+// publishWorker writes the list entry of a worker to the store.
 func (f *Fleet) publishWorker(p *listedWorker, state string) error {
 	f.seq++
 	return f.store.List(p.worker.ID(), rows.Server{
@@ -48,7 +48,7 @@
 	})
 }
 
-// leave has a worker say that it leaves, and another come in its place.
+// replaceWorker lists a worker as draining and adds another one in its place.
 func (f *Fleet) replaceWorker(which int) (err error) {
 	f.mu.Lock()
 	i := which % len(f.workers)
@@ -63,15 +63,15 @@
 	return f.addWorker(p.service, p.role)
 }
 
-// pick returns one of the workers that serve.
+// pickWorker returns one of the workers that aren't listed as draining.
 func (f *Fleet) pickWorker(which int) *listedWorker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.workers[which%len(f.workers)]
 }
 
-// leaveUnlisted has a worker say in its answers that it leaves, a while before the list
-// says so.
+// drainUnlisted lets a worker report in its answers that it is draining, and lists it as
+// draining only after d.
 func (f *Fleet) drainUnlisted(which int, d time.Duration) error {
 	p := f.pickWorker(which)
 	p.worker.Say("Server-Leaving", "1")
@@ -80,16 +80,16 @@
 	i := slices.Index(f.workers, p)
 	f.mu.Unlock()
 	if i < 0 {
-		return nil // it has left by another step
+		return nil // another step has drained it
 	}
 	return f.replaceWorker(i)
 }
 
-// limit has a worker name a rate in its answers for a while.
+// limitRate lets a worker report a rate limit in its answers for a while.
 func (f *Fleet) limitRate(which int, rate float64, d time.Duration) {
 	p := f.pickWorker(which)
 	if !p.rateLimited.CompareAndSwap(false, true) {
-		return // it names another rate already
+		return // it reports another rate already
 	}
 	defer p.rateLimited.Store(false)
 	from := f.clock.Now()
@@ -100,14 +100,14 @@
 }
 
 const (
-	// away is how long the store is away before it comes back from a copy, and rewritten
-	// how long after that what was lost is written again.
+	// storeOutage is how long the store is down before it is restored from a copy, and
+	// rewriteDelay how long after that the lost entries are written again.
 	storeOutage  = 300 * time.Millisecond
 	rewriteDelay = 500 * time.Millisecond
 )
 
-// restore has the store lose what was written in a while, as it comes back from a copy.
-// The operator and the workers that live write again what they had written.
+// restore restores the store from an older copy, so that it loses what was written in the
+// given time. The operator and the running workers then write their entries again.
 func (f *Fleet) restore(lost time.Duration) error {
 	from := f.clock.Now()
 	older := f.store.Copy()
--- a/internal/soak/history/feedback.go
+++ b/internal/soak/history/feedback.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	// grace is how long requests that were under way may go on to arrive after a worker
-	// first named a rate, and known how long a process may take to learn of it that has
-	// passed it on.
+	// inFlightGrace is how long requests in flight may still arrive after a worker first
+	// reported a rate; learnDelay is how long a process may take to apply the rate of an
+	// answer that it forwarded.
 	inFlightGrace = 3 * time.Second
 	learnDelay    = 500 * time.Millisecond
-	// A worker may get more than its rate in any span by this factor and this many.
+	// Within any rateWindow a worker may get at most rateFactor times its rate, and
+	// rateSlack requests more.
 	rateWindow = 4 * time.Second
 	rateFactor = 1.5
 	rateSlack  = 5
 )
 
-// way is from a process to a worker.
+// link is the connection from a process to a worker.
 type link struct{ process, worker string }
 
-// told returns when each process first passed on an answer that says something.
+// firstFeedback returns when each process first forwarded a worker's answer that matches.
 func (h *History) firstFeedback(matches func(answer) bool) map[link]time.Time {
 	first := map[link]time.Time{}
 	for _, a := range h.answers {
@@ -36,7 +37,7 @@
 	return first
 }
 
-// byID returns the answers by what they answer.
+// answersByID returns the answers by request ID.
 func (h *History) answersByID() map[string]answer {
 	byID := map[string]answer{}
 	for _, a := range h.answers {
@@ -45,8 +46,8 @@
 	return byID
 }
 
-// toldLeaving: a process sends nothing to a worker once it has passed on an answer of it
-// that says that it leaves, whatever the store says.
+// checkDrainFeedback: a process sends nothing to a worker after it has forwarded an answer
+// with which the worker reports that it is draining, whatever the store lists.
 func (h *History) checkDrainFeedback() []string {
 	first, answers := h.firstFeedback(func(a answer) bool { return a.Leaving }), h.answersByID()
 	for _, r := range h.requests {
@@ -60,8 +61,8 @@
 	return nil
 }
 
-// rates: a worker gets no more than the rate that it names from the processes that have
-// passed it on.
+// checkRateLimits: a worker gets no more than the rate that it reports from the processes
+// that have forwarded that report.
 func (h *History) checkRateLimits() []string {
 	feedback, answers := h.firstFeedback(func(a answer) bool { return a.Limited }), h.answersByID()
 	for _, l := range h.rateLimits {
--- a/internal/soak/history/history.go
+++ b/internal/soak/history/history.go
@@ -1,9 +1,9 @@
-// Package history records what callers and workers saw of a soak, and says which
-// promises that breaks.
+// Package history records what callers and workers observed during a soak and checks it
+// against the guarantees of the gateway.
 //
-// It knows nothing of the programs' inside: callers say what they got, workers
-// what they ran and when, and who injects faults says what was hurt, since some
-// of what callers see is allowed while it is.
+// It sees the gateways from outside only: callers record the answers that they got, workers
+// the requests that they received and ran, and the fault injector which target was faulty
+// when, since callers may see some failures during a fault.
 package history
 
 import (
@@ -17,35 +17,35 @@
 	"carawayspread/internal/standin/worker"
 )
 
-// Target is what a fault hurts.
+// Target is what a fault affects.
 type Target string
 
-// Store is hurt itself, or the way to it. What else is hurt goes by its name: a
-// gateway that does not run, and a worker the way to which fails.
+// Store covers faults of the store and of the connections to it. Other targets go by their
+// names: a gateway that doesn't run, or a worker to which the connections fail.
 const Store Target = "store"
 
-// Bounds are what is promised.
+// Bounds are the guaranteed limits.
 type Bounds struct {
-	// Timeouts are what a route allows until the final answer, and Late how much
-	// later callers may see it on a busy machine.
+	// Timeouts are the times until the final answer that a route allows, and Tolerance how
+	// much later callers may see it on a busy machine.
 	Timeouts  map[caller.Kind]time.Duration
 	Tolerance time.Duration
-	Drain     time.Duration // in which nothing more is sent to a leaving worker
-	// RetryRatio, Slack and Window bound what is sent beyond first attempts.
+	Drain     time.Duration // after which nothing more is sent to a draining worker
+	// RetryRatio, RetrySlack and RetryWindow bound the attempts beyond the first ones.
 	RetryRatio      float64
 	RetrySlack      int
 	RetryWindow     time.Duration
-	MemoryMegabytes int // of a process
+	MemoryMegabytes int // per process
 }
 
-// window is when something was hurt. An order to end hurts nobody who asked before
-// the process had ended.
+// interval is the time in which a target was faulty. A shutdown (SIGTERM) excuses no lost
+// answer to a request that was sent before the process had exited.
 type interval struct {
 	from, to time.Time
 	shutdown bool
 }
 
-// limit is the rate that a worker named for a while, in requests a second.
+// rateLimit is the rate that a worker reported for a while, in requests per second.
 type rateLimit struct {
 	worker   string
 	rate     float64
@@ -62,7 +62,7 @@
 	worker string
 }
 
-// History is what was seen. It is safe for concurrent use.
+// History holds the observations of one soak. It is safe for concurrent use.
 type History struct {
 	bounds Bounds
 
@@ -71,25 +71,25 @@
 	answers       []answer
 	requests      []request
 	faults        map[Target][]interval
-	drainingSince map[string]time.Time // of workers
+	drainingSince map[string]time.Time // by worker
 	rateLimits    []rateLimit
-	finalAnswers  []answer       // after all faults had ended
-	peakMemory    map[string]int // the most of each process, in megabytes
+	finalAnswers  []answer       // to requests sent after all faults had ended
+	peakMemory    map[string]int // by process, in megabytes
 }
 
-// New returns an empty history that begins now.
+// New returns an empty history that begins at start.
 func New(bounds Bounds, start time.Time) *History {
 	return &History{bounds: bounds, start: start, faults: map[Target][]interval{}, drainingSince: map[string]time.Time{}, peakMemory: map[string]int{}}
 }
 
-// RecordAnswer adds what a caller got of a process.
+// RecordAnswer records what a caller got from a process.
 func (h *History) RecordAnswer(process string, a caller.Answer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.answers = append(h.answers, answer{a, process})
 }
 
-// RecordFinalAnswer adds what a caller got after all faults had ended.
+// RecordFinalAnswer records what a caller got from a process after all faults had ended.
 func (h *History) RecordFinalAnswer(process string, a caller.Answer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -97,7 +97,7 @@
 	h.finalAnswers = append(h.finalAnswers, answer{a, process})
 }
 
-// RecordRequests adds what a worker saw.
+// RecordRequests records what a worker received, except for control requests under /-/.
 func (h *History) RecordRequests(id string, seen []worker.Seen) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -108,42 +108,43 @@
 	}
 }
 
-// RecordFault adds that something was hurt for a while.
+// RecordFault records that a target was faulty for a while.
 func (h *History) RecordFault(target Target, from, to time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.faults[target] = append(h.faults[target], interval{from: from, to: to})
 }
 
-// RecordShutdown adds that a process has ended, as it was told to, and when the next one serves.
+// RecordShutdown records that a process had exited on SIGTERM at from, and that the next one
+// serves since to.
 func (h *History) RecordShutdown(process string, from, to time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.faults[Target(process)] = append(h.faults[Target(process)], interval{from: from, to: to, shutdown: true})
 }
 
-// RecordDraining adds that a worker said that it leaves.
+// RecordDraining records that a worker was listed as draining.
 func (h *History) RecordDraining(id string, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.drainingSince[id] = at
 }
 
-// RecordRateLimit adds that a worker named in its answers how many requests a second it takes.
+// RecordRateLimit records that a worker reported a rate in its answers, in requests per second.
 func (h *History) RecordRateLimit(id string, rate float64, from, to time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.rateLimits = append(h.rateLimits, rateLimit{id, rate, from, to})
 }
 
-// RecordMemory adds what a process occupies.
+// RecordMemory records the resident memory of a process.
 func (h *History) RecordMemory(process string, megabytes int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.peakMemory[process] = max(h.peakMemory[process], megabytes)
 }
 
-// RequestCounts returns how many requests there were, and how many of them were served.
+// RequestCounts returns how many requests were sent and how many of them were served.
 func (h *History) RequestCounts() (asked, served int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -155,7 +156,7 @@
 	return len(h.answers), served
 }
 
-// Breaches returns a sentence for each promise that was broken, the first first.
+// Breaches returns a sentence for each violation of a guarantee, those of answers first.
 func (h *History) Breaches() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -181,7 +182,7 @@
 	return append(found, h.checkMemory()...)
 }
 
-// once: what must not run twice does not.
+// checkAtMostOnce: an unsafe request doesn't run twice.
 func (h *History) checkAtMostOnce(a answer, executions []request) []string {
 	if a.Kind != caller.Unsafe || len(executions) < 2 {
 		return nil
@@ -189,7 +190,7 @@
 	return finding("%s ran %d times, at %s and %s", a.ID, len(executions), executions[0].worker, executions[1].worker)
 }
 
-// own: a success is the whole answer to the caller's own request.
+// checkOwnAnswer: a success is the complete answer to the caller's own request.
 func checkOwnAnswer(a answer, executions []request) []string {
 	if a.Status != 200 || a.Err != nil {
 		return nil
@@ -214,7 +215,7 @@
 	return b.String()
 }
 
-// notRun: a refusal that no worker signed says that the request has not run.
+// checkRefusal: a refusal without a worker's seal means that the request hasn't run.
 func checkRefusal(a answer, executions []request) []string {
 	isRefusal := a.Status == 429 || a.Status == 503 || a.Status == 408 || a.Status == 421
 	if !isRefusal || a.Seal != "" || len(executions) == 0 {
@@ -223,7 +224,7 @@
 	return finding("%s was refused with %d as not run, and ran at %s", a.ID, a.Status, executions[0].worker)
 }
 
-// inTime: the final answer is there by the time limit, where the process ran all the while.
+// checkTimeout: the final answer arrives within the time limit if the process ran throughout.
 func (h *History) checkTimeout(a answer) []string {
 	limit := h.bounds.Timeouts[a.Kind] + h.bounds.Tolerance
 	if latency := a.Ended.Sub(a.Asked); latency > limit && !h.overlaps(Target(a.process), a.Asked, a.Ended) {
@@ -232,7 +233,7 @@
 	return nil
 }
 
-// kept: no caller is left without an answer by a process that ran all the while.
+// checkAnswered: no caller is left without an answer by a process that ran throughout.
 func (h *History) checkAnswered(a answer) []string {
 	excused := slices.ContainsFunc(h.faults[Target(a.process)], func(w interval) bool {
 		return w.overlaps(a.Asked, a.Ended) && !(w.shutdown && a.Asked.Before(w.from))
@@ -243,8 +244,8 @@
 	return finding("%s was left without an answer by %s: %v", a.ID, a.process, a.Err)
 }
 
-// leaving: nothing is sent to a worker that has said that it leaves, once all that
-// could keep the process from knowing it has been well for long enough.
+// checkDraining: nothing is sent to a worker that was listed as draining, once the store,
+// the worker and the process have been free of faults for long enough to learn of it.
 func (h *History) checkDraining() []string {
 	drainBound := h.bounds.Drain + h.bounds.Tolerance
 	processOf := map[string]string{}
@@ -265,7 +266,7 @@
 	return nil
 }
 
-// budget: what is sent beyond first attempts is bounded.
+// checkRetryBudget: the number of attempts beyond the first ones is bounded.
 func (h *History) checkRetryBudget() []string {
 	attempts := map[string]int{}
 	end := h.start
@@ -288,7 +289,7 @@
 	return nil
 }
 
-// served: after the last fault every process serves.
+// checkRecovery: every process serves after the last fault.
 func (h *History) checkRecovery() []string {
 	var found []string
 	for _, a := range h.finalAnswers {
@@ -299,7 +300,7 @@
 	return found
 }
 
-// bounded: no process occupies more than it is given.
+// checkMemory: no process occupies more memory than it is granted.
 func (h *History) checkMemory() []string {
 	var found []string
 	for process, megabytes := range h.peakMemory {
--- a/internal/soak/history/history_test.go
+++ b/internal/soak/history/history_test.go
@@ -15,7 +15,8 @@
 	"carawayspread/internal/standin/worker"
 )
 
-// What breaks a promise is said, and what is allowed beside it is not.
+// Guards against a violated guarantee that the soak doesn't report, and against a report of
+// what is allowed: each case breaks at most one guarantee.
 func TestBreaches(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	at := func(d time.Duration) time.Time { return start.Add(d) }
@@ -42,7 +43,7 @@
 		change(&a)
 		return a
 	}
-	// later adds requests that were served by w from that moment on.
+	// later adds n requests that w served, the first at from.
 	later := func(h *History, from time.Time, n int, interval time.Duration) {
 		for i := range n {
 			id, asked := fmt.Sprint("later-", i), from.Add(time.Duration(i)*interval)
@@ -57,68 +58,68 @@
 		with   func(*History)
 		want   string
 	}{
-		"served":                            {served(caller.Unsafe, "w answers id"), ran(0, "id"), nil, ""},
-		"ran twice":                         {served(caller.Unsafe, "w answers id"), ran(0, "id", "id"), nil, "ran 2 times"},
-		"a safe one ran twice":              {served(caller.Safe, "w answers id"), ran(0, "id", "id"), nil, ""},
-		"another's answer":                  {served(caller.Unsafe, "w answers other"), ran(0, "id"), nil, "as its own"},
-		"an answer that nobody gave":        {served(caller.Unsafe, "w answers id"), nil, nil, "as its own"},
-		"a whole stream":                    {served(caller.Stream, streamBody("id")), ran(0, "id"), nil, ""},
-		"a stream that only looks whole":    {served(caller.Stream, "id: 1\ndata: part 1 of id\n\n"), ran(0, "id"), nil, "as whole"},
-		"an answer cut openly":              {truncated, ran(0, "id"), nil, ""},
-		"refused":                           {refused, nil, nil, ""},
-		"refused, and ran":                  {refused, ran(0, "id"), nil, "as not run"},
-		"late":                              {late, ran(0, "id"), nil, "after 4s, of 3s"},
-		"late, of a process that paused":    {late, ran(0, "id"), func(h *History) { h.RecordFault("g", at(time.Second), at(3*time.Second)) }, ""},
-		"left without an answer":            {unanswered, nil, nil, "without an answer by g"},
-		"left by a process that was killed": {unanswered, nil, func(h *History) { h.RecordFault("g", at(time.Second/2), at(2*time.Second)) }, ""},
-		"left by another that was killed":   {unanswered, nil, func(h *History) { h.RecordFault("h", at(time.Second/2), at(2*time.Second)) }, "without an answer by g"},
-		"cut as its process ended in order": {unanswered, nil, func(h *History) { h.RecordShutdown("g", at(time.Second-time.Millisecond), at(2*time.Second)) }, "without an answer by g"},
-		"asked when it had ended":           {unanswered, nil, func(h *History) { h.RecordShutdown("g", at(-time.Millisecond), at(2*time.Second)) }, ""},
-		"nobody at the port":                {unconnected, nil, nil, ""},
-		"sent by the one that was told that it leaves": {servedWith(func(a *caller.Answer) { a.Leaving = true }), ran(0, "id"), func(h *History) {
+		"served":                          {served(caller.Unsafe, "w answers id"), ran(0, "id"), nil, ""},
+		"ran twice":                       {served(caller.Unsafe, "w answers id"), ran(0, "id", "id"), nil, "ran 2 times"},
+		"a safe request ran twice":        {served(caller.Safe, "w answers id"), ran(0, "id", "id"), nil, ""},
+		"answer to another request":       {served(caller.Unsafe, "w answers other"), ran(0, "id"), nil, "as its own"},
+		"answer without an execution":     {served(caller.Unsafe, "w answers id"), nil, nil, "as its own"},
+		"complete stream":                 {served(caller.Stream, streamBody("id")), ran(0, "id"), nil, ""},
+		"stream cut without an error":     {served(caller.Stream, "id: 1\ndata: part 1 of id\n\n"), ran(0, "id"), nil, "as whole"},
+		"answer cut with an error":        {truncated, ran(0, "id"), nil, ""},
+		"refused":                         {refused, nil, nil, ""},
+		"refused but ran":                 {refused, ran(0, "id"), nil, "as not run"},
+		"late":                            {late, ran(0, "id"), nil, "after 4s, of 3s"},
+		"late from a paused process":      {late, ran(0, "id"), func(h *History) { h.RecordFault("g", at(time.Second), at(3*time.Second)) }, ""},
+		"no answer":                       {unanswered, nil, nil, "without an answer by g"},
+		"no answer from a killed process": {unanswered, nil, func(h *History) { h.RecordFault("g", at(time.Second/2), at(2*time.Second)) }, ""},
+		"no answer while another process was killed": {unanswered, nil, func(h *History) { h.RecordFault("h", at(time.Second/2), at(2*time.Second)) }, "without an answer by g"},
+		"no answer on a shutdown":                    {unanswered, nil, func(h *History) { h.RecordShutdown("g", at(time.Second-time.Millisecond), at(2*time.Second)) }, "without an answer by g"},
+		"sent after the process had exited":          {unanswered, nil, func(h *History) { h.RecordShutdown("g", at(-time.Millisecond), at(2*time.Second)) }, ""},
+		"connection refused":                         {unconnected, nil, nil, ""},
+		"sent after the process learnt that the worker drains": {servedWith(func(a *caller.Answer) { a.Leaving = true }), ran(0, "id"), func(h *History) {
 			later(h, at(5*time.Second), 1, 0)
 		}, "4s after an answer had told it"},
-		"sent just after it was told": {servedWith(func(a *caller.Answer) { a.Leaving = true }), ran(0, "id"), func(h *History) {
+		"sent within the drain bound of the feedback": {servedWith(func(a *caller.Answer) { a.Leaving = true }), ran(0, "id"), func(h *History) {
 			later(h, at(2*time.Second), 1, 0)
 		}, ""},
-		"sent by one that has started again since": {servedWith(func(a *caller.Answer) { a.Leaving = true }), ran(0, "id"), func(h *History) {
+		"sent by a process that restarted after the feedback": {servedWith(func(a *caller.Answer) { a.Leaving = true }), ran(0, "id"), func(h *History) {
 			later(h, at(5*time.Second), 1, 0)
 			h.RecordFault("g", at(2*time.Second), at(3*time.Second))
 		}, ""},
-		"sent by one that was told nothing": {served(caller.Unsafe, "w answers id"), ran(0, "id"), func(h *History) {
+		"sent by a process without feedback": {served(caller.Unsafe, "w answers id"), ran(0, "id"), func(h *History) {
 			later(h, at(5*time.Second), 1, 0)
 		}, ""},
-		"more than the rate": {servedWith(func(a *caller.Answer) { a.Limited = true }), ran(0, "id"), func(h *History) {
+		"above the rate": {servedWith(func(a *caller.Answer) { a.Limited = true }), ran(0, "id"), func(h *History) {
 			later(h, at(5*time.Second), 18, 200*time.Millisecond)
 			h.RecordRateLimit("w", 2, at(0), at(10*time.Second))
 		}, "got 18 requests in 4s, of 17"},
-		"the rate": {servedWith(func(a *caller.Answer) { a.Limited = true }), ran(0, "id"), func(h *History) {
+		"at the rate": {servedWith(func(a *caller.Answer) { a.Limited = true }), ran(0, "id"), func(h *History) {
 			later(h, at(5*time.Second), 17, 200*time.Millisecond)
 			h.RecordRateLimit("w", 2, at(0), at(10*time.Second))
 		}, ""},
-		"more while it is learnt": {servedWith(func(a *caller.Answer) { a.Limited = true }), ran(0, "id"), func(h *History) {
+		"above the rate while requests are in flight": {servedWith(func(a *caller.Answer) { a.Limited = true }), ran(0, "id"), func(h *History) {
 			later(h, at(2*time.Second), 18, 50*time.Millisecond)
 			h.RecordRateLimit("w", 2, at(0), at(10*time.Second))
 		}, ""},
-		"more by one that was told nothing": {served(caller.Unsafe, "w answers id"), ran(0, "id"), func(h *History) {
+		"above the rate by a process without feedback": {served(caller.Unsafe, "w answers id"), ran(0, "id"), func(h *History) {
 			later(h, at(5*time.Second), 18, 200*time.Millisecond)
 			h.RecordRateLimit("w", 2, at(0), at(10*time.Second))
 		}, ""},
-		"sent to one that leaves":    {served(caller.Unsafe, "w answers id"), ran(6*time.Second, "id"), func(h *History) { h.RecordDraining("w", at(time.Second)) }, "5s after it had said"},
-		"sent just after it said so": {served(caller.Unsafe, "w answers id"), ran(3*time.Second, "id"), func(h *History) { h.RecordDraining("w", at(time.Second)) }, ""},
-		"sent while the store was away": {served(caller.Unsafe, "w answers id"), ran(6*time.Second, "id"), func(h *History) {
+		"sent to a draining worker":                  {served(caller.Unsafe, "w answers id"), ran(6*time.Second, "id"), func(h *History) { h.RecordDraining("w", at(time.Second)) }, "5s after it had said"},
+		"sent within the drain bound of the listing": {served(caller.Unsafe, "w answers id"), ran(3*time.Second, "id"), func(h *History) { h.RecordDraining("w", at(time.Second)) }, ""},
+		"sent after the store was down": {served(caller.Unsafe, "w answers id"), ran(6*time.Second, "id"), func(h *History) {
 			h.RecordDraining("w", at(time.Second))
 			h.RecordFault(Store, at(2*time.Second), at(4*time.Second))
 		}, ""},
-		"sent long after the store was away": {served(caller.Unsafe, "w answers id"), ran(6*time.Second, "id"), func(h *History) {
+		"sent long after the store was down": {served(caller.Unsafe, "w answers id"), ran(6*time.Second, "id"), func(h *History) {
 			h.RecordDraining("w", at(time.Second))
 			h.RecordFault(Store, at(time.Second), at(2*time.Second))
 		}, "5s after it had said"},
-		"sent over a way that was slow": {served(caller.Unsafe, "w answers id"), ran(6*time.Second, "id"), func(h *History) {
+		"sent over a slow connection": {served(caller.Unsafe, "w answers id"), ran(6*time.Second, "id"), func(h *History) {
 			h.RecordDraining("w", at(time.Second))
 			h.RecordFault("w", at(5*time.Second), at(6*time.Second))
 		}, ""},
-		"sent while another way was slow": {served(caller.Unsafe, "w answers id"), ran(6*time.Second, "id"), func(h *History) {
+		"sent while another connection was slow": {served(caller.Unsafe, "w answers id"), ran(6*time.Second, "id"), func(h *History) {
 			h.RecordDraining("w", at(time.Second))
 			h.RecordFault("other", at(5*time.Second), at(6*time.Second))
 		}, "5s after it had said"},
--- a/internal/soak/program/program.go
+++ b/internal/soak/program/program.go
@@ -1,6 +1,6 @@
-// Package program runs one program of ours as a process, and hurts it from outside.
+// Package program runs one program of the project as a process and sends it signals.
 //
-// It is for the soak alone: nothing that is deployed starts a process.
+// It is for the soak only: nothing that is deployed starts a process.
 package program
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Program is one process at a time of one binary.
+// Program runs a binary, one process at a time.
 type Program struct {
 	name string
 	args []string
@@ -22,11 +22,11 @@
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
-	// ended is closed when the process that runs has ended.
+	// ended is closed when the current process has exited.
 	ended chan struct{}
 }
 
-// New returns a program that is not started. What it prints is added to the file.
+// New returns a program that is not started yet. Its output is appended to the file log.
 func New(log string, name string, args ...string) (*Program, error) {
 	f, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return &Program{name: name, args: args, log: f}, nil
 }
 
-// Start starts the process anew. One that runs has to have ended.
+// Start starts a process. The previous one must have exited.
 func (p *Program) Start() error {
 	cmd := exec.Command(p.name, p.args...)
 	cmd.Stdout, cmd.Stderr = p.log, p.log
@@ -47,13 +47,13 @@
 	p.cmd, p.ended = cmd, ended
 	p.mu.Unlock()
 	go func() {
-		_ = cmd.Wait() // a killed process ends with an error
+		_ = cmd.Wait() // a killed process yields an error
 		close(ended)
 	}()
 	return nil
 }
 
-// Signal sends a signal to the process, by its number.
+// Signal sends a signal to the process. It does nothing if the process has exited.
 func (p *Program) Signal(s syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,14 +65,14 @@
 	}
 }
 
-// Ended is closed when the process that runs now has ended.
+// Ended returns a channel that is closed when the current process has exited.
 func (p *Program) Ended() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.ended
 }
 
-// MemoryMegabytes returns the memory that the process occupies; zero where it has ended.
+// MemoryMegabytes returns the resident memory of the process, or zero if it has exited.
 func (p *Program) MemoryMegabytes() int {
 	p.mu.Lock()
 	pid := p.cmd.Process.Pid
@@ -90,7 +90,7 @@
 	return 0
 }
 
-// Close ends the process, if it runs, and its log.
+// Close kills the process if it runs, and closes its log.
 func (p *Program) Close() {
 	if p.Ended() != nil {
 		_ = p.Signal(syscall.SIGCONT)
--- a/internal/soak/relay/relay.go
+++ b/internal/soak/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay stands between two programs on loopback and makes the way
-// between them fail as networks do.
+// Package relay forwards TCP connections between two programs on loopback and injects
+// network faults.
 package relay
 
 import (
@@ -14,29 +14,29 @@
 	"carawayspread"
 )
 
-// Fault is what the way does to what is sent over it.
+// Fault is a network fault.
 type Fault int32
 
-// Faults. The zero value passes everything on.
+// Faults. The zero value forwards everything.
 const (
 	None    Fault = iota
-	Delayed       // everything comes late
-	Silent        // connections stay open, and nothing comes through
-	OneWay        // what is sent arrives, what is answered does not
-	Refused       // new connections are reset, and so are open ones
+	Delayed       // everything arrives late
+	Silent        // connections stay open, and nothing arrives
+	OneWay        // requests arrive, responses don't
+	Refused       // new and open connections are reset
 )
 
 const (
-	// lateBy is a round trip between regions that are far apart.
+	// addedDelay is a round trip between distant regions.
 	addedDelay = 150 * time.Millisecond
-	// faultPoll is short against every fault.
+	// faultPollInterval is short compared with every fault.
 	faultPollInterval = 10 * time.Millisecond
-	// blockSize holds a whole answer of the stand-ins, so that it comes at once.
+	// bufferSize holds a complete answer of the stand-ins, so that it arrives at once.
 	bufferSize  = 16 << 10
 	bitsPerByte = 8
 )
 
-// Relay passes connections on to one address until it is closed.
+// Relay forwards connections to one address until it is closed.
 type Relay struct {
 	clock         carawayspread.Clock
 	listener      net.Listener
@@ -46,11 +46,11 @@
 
 	mu        sync.Mutex
 	conns     map[net.Conn]bool
-	bandwidth float64   // bits a second of all answers; zero for no bound
-	freeAt    time.Time // when the answers that were read are through
+	bandwidth float64   // bits per second of all responses; zero is unbounded
+	freeAt    time.Time // when the responses read so far have been sent
 }
 
-// New opens a relay to an address.
+// New starts a relay to an address.
 func New(target string, clock carawayspread.Clock) (*Relay, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -61,10 +61,10 @@
 	return r, nil
 }
 
-// Address returns IP number and port.
+// Address returns the IP address and port of the relay.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// SetFault has the way fail so from now on.
+// SetFault applies a fault to open and new connections from now on.
 func (r *Relay) SetFault(fault Fault) {
 	r.fault.Store(int32(fault))
 	if fault == Refused {
@@ -72,17 +72,17 @@
 	}
 }
 
-// LimitBandwidth bounds the bits a second of all answers together; zero ends the bound.
+// LimitBandwidth bounds the bits per second of all responses together; zero removes the bound.
 func (r *Relay) LimitBandwidth(bits float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.bandwidth, r.freeAt = bits, r.clock.Now()
 }
 
-// ResponseBytes returns the bytes of answers that were passed on.
+// ResponseBytes returns how many bytes of responses were forwarded.
 func (r *Relay) ResponseBytes() int64 { return r.responseBytes.Load() }
 
-// Close ends the relay and its connections.
+// Close stops the relay and resets its connections.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
 	r.resetAll()
@@ -98,7 +98,7 @@
 	}
 }
 
-// reset closes a connection so that its peer sees that it was not ended.
+// reset closes a connection with a TCP reset, so that its peer sees no regular end.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -145,7 +145,7 @@
 	}
 }
 
-// copy passes on what one side sends, and its end.
+// copy forwards what one side sends, and its end of stream.
 func (r *Relay) copy(to, from net.Conn, isRequest bool) {
 	buffer := make([]byte, bufferSize)
 	for {
@@ -174,7 +174,7 @@
 	}
 }
 
-// wait returns when what was read may go on.
+// applyFault blocks while the current fault delays or withholds data.
 func (r *Relay) applyFault(isRequest bool) {
 	if r.currentFault() == Delayed {
 		<-r.clock.After(addedDelay)
@@ -184,7 +184,7 @@
 	}
 }
 
-// queue returns when that many bytes are through behind what came before.
+// throttle blocks until the bandwidth allows n more bytes of responses.
 func (r *Relay) throttle(n int) {
 	r.mu.Lock()
 	if r.bandwidth == 0 {
--- a/internal/soak/schedule/schedule.go
+++ b/internal/soak/schedule/schedule.go
@@ -1,4 +1,4 @@
-// Package schedule draws from a seed which faults a soak injects, and when.
+// Package schedule generates from a seed which faults a soak injects, and when.
 package schedule
 
 import (
@@ -10,38 +10,39 @@
 	"time"
 )
 
-// Kind is what happens.
+// Kind is the kind of a fault.
 type Kind string
 
-// Kinds. Those of gateways come by signals, the others by the relays and stand-ins.
+// Kinds. Faults of gateways are injected by signals, the others by the relays and the
+// stand-ins.
 const (
-	Kill        Kind = "kill"        // SIGKILL, then a new process
-	KillAll     Kind = "killAll"     // of all gateways at once
-	Replace     Kind = "replace"     // SIGTERM, then a new process
-	Pause       Kind = "pause"       // SIGSTOP, then SIGCONT
-	Reload      Kind = "reload"      // SIGHUP
-	Delayed     Kind = "delayed"     // the way to a worker
-	Silent      Kind = "silent"      // the same
-	OneWay      Kind = "oneWay"      // the same
-	Refused     Kind = "refused"     // the same
-	StoreDown   Kind = "storeDown"   // it answers 503
-	StoreSilent Kind = "storeSilent" // the way to it
-	StoreForgot Kind = "storeForgot" // its history
-	Misbehave   Kind = "misbehave"   // a worker, for some requests
-	Drain       Kind = "drain"       // a worker leaves, and another comes
-	Routes      Kind = "routes"      // a newer version of the routes
-
-	Restore Kind = "restore" // the store comes back from a copy that is so old
-	Leaving Kind = "leaving" // a worker says in its answers alone that it leaves
-	Limited Kind = "limited" // a worker names in its answers a rate that it takes
-
-	Narrow Kind = "narrow" // the way to the store carries no more than that of a small instance
+	Kill        Kind = "kill"        // a gateway gets SIGKILL and is restarted
+	KillAll     Kind = "killAll"     // the same for all gateways at once
+	Replace     Kind = "replace"     // a gateway gets SIGTERM and is restarted
+	Pause       Kind = "pause"       // a gateway gets SIGSTOP, then SIGCONT
+	Reload      Kind = "reload"      // a gateway gets SIGHUP
+	Delayed     Kind = "delayed"     // connections to a worker, see relay.Delayed
+	Silent      Kind = "silent"      // the same, see relay.Silent
+	OneWay      Kind = "oneWay"      // the same, see relay.OneWay
+	Refused     Kind = "refused"     // the same, see relay.Refused
+	StoreDown   Kind = "storeDown"   // the store answers 503
+	StoreSilent Kind = "storeSilent" // the connections to the store, see relay.Silent
+	StoreForgot Kind = "storeForgot" // the store compacts its history
+	Misbehave   Kind = "misbehave"   // a worker answers some requests wrongly
+	Drain       Kind = "drain"       // a worker is listed as draining, and another joins
+	Routes      Kind = "routes"      // a newer version of the routes is published
+
+	Restore Kind = "restore" // the store is restored from a copy that is as old as the step is long
+	Leaving Kind = "leaving" // a worker reports that it is draining in its answers only
+	Limited Kind = "limited" // a worker reports a rate limit in its answers
+
+	Narrow Kind = "narrow" // the bandwidth to the store is that of a small instance
 )
 
-// rare come once in some seconds, drawn apart from the others.
+// rareKinds occur once in several seconds. They are generated from a random source of their own.
 var rareKinds = []Kind{Restore, Leaving, Limited}
 
-// sizes are how many routes that nobody uses a configuration holds.
+// idleRouteCounts are how many unused routes a configuration may hold.
 var idleRouteCounts = []int{0, 0, 3000, 12000}
 
 var commonKinds = []Kind{
@@ -49,25 +50,26 @@
 	StoreDown, StoreSilent, StoreForgot, Misbehave, Misbehave, Misbehave, Drain, Drain, Routes, Routes,
 }
 
-// stops have many orders to end meet requests that workers hold.
+// stopKinds make many shutdowns coincide with requests that workers stall.
 var stopKinds = []Kind{
 	Replace, Replace, Replace, Replace, Replace, Replace, Misbehave, Misbehave, Misbehave, Misbehave, Misbehave,
 	Silent, Silent, Silent, OneWay,
 }
 
 const (
-	// longest is how long one fault lasts at most: callers of the routes wait for
+	// maxDuration is how long one fault lasts at most: callers of the routes wait for
 	// two to four seconds.
 	maxDuration = 2500 * time.Millisecond
-	// apart is the mean time from one step to the next: faults that last one and a
-	// quarter second on the mean overlap, two or three at a time.
+	// meanInterval is the mean time from one step to the next: faults that last 1.25
+	// seconds on average overlap, two or three at a time.
 	meanInterval = 450 * time.Millisecond
-	// rareApart is the same of those that are drawn apart, and limitedFor the least time
-	// for which a worker names a rate: most of it is left to what is under way.
+	// rareMeanInterval is the same for the kinds that are generated separately, and
+	// minLimitedDuration the shortest time for which a worker reports a rate: during much of
+	// it, requests that were in flight may still arrive above the rate.
 	rareMeanInterval   = 5 * time.Second
 	minLimitedDuration = 6 * time.Second
-	// unlistedFor is the least time for which a worker that leaves is listed as ready:
-	// longer than what processes have to stop in.
+	// minUnlistedDuration is the shortest time for which a draining worker is still listed as
+	// ready: longer than the time in which processes have to stop sending to it.
 	minUnlistedDuration = 4 * time.Second
 )
 
@@ -75,11 +77,11 @@
 type Step struct {
 	At, Duration time.Duration
 	Kind         Kind
-	Which        int // gateway or worker, to be taken modulo their number
+	Which        int // index of the gateway or worker, modulo their number
 	Random       uint64
 }
 
-// Schedule is what happens in one soak.
+// Schedule holds the steps of one soak.
 type Schedule struct {
 	seed       uint64
 	steps      []Step
@@ -91,8 +93,8 @@
 	return generate(seed, length, commonKinds)
 }
 
-// GenerateStops returns a schedule in which most faults are orders to end, and workers that
-// hold requests.
+// GenerateStops returns a schedule in which most faults are shutdowns, and workers that stall
+// requests.
 func GenerateStops(seed uint64, length time.Duration) *Schedule {
 	return generate(seed, length, stopKinds)
 }
@@ -128,16 +130,16 @@
 	}
 }
 
-// Seed returns what the schedule was drawn from.
+// Seed returns the seed that the schedule was generated from.
 func (s *Schedule) Seed() uint64 { return s.seed }
 
-// IdleRoutes returns how many routes that nobody uses the configuration holds.
+// IdleRoutes returns how many unused routes the configuration holds.
 func (s *Schedule) IdleRoutes() int { return s.idleRoutes }
 
-// Steps returns the steps in their order.
+// Steps returns the steps in order of their start.
 func (s *Schedule) Steps() []Step { return slices.Clone(s.steps) }
 
-// String returns the schedule, a step a line.
+// String returns the schedule with one step per line.
 func (s *Schedule) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d, %d idle routes\n", s.seed, s.idleRoutes)
