--- a/internal/daemon/gatewayd/daemon.go
+++ b/internal/daemon/gatewayd/daemon.go
@@ -117,9 +117,9 @@
 		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 	d.gateway = gateway.New(ports.Transport, ports.Protocol, d.placer, clock, d.decisionLog,
-		gateway.WithConfigFreshness(freshness{d}, s.Revoked(), s.Terms().ConfigApply),
+		gateway.WithConfigFreshness(freshness{d}, s.RevocationBound(), s.Bounds().ConfigApply),
 		gateway.WithUsage(d.countRequest),
-		gateway.WithRetryBudget(s.Budget(), d.peers.FleetSize),
+		gateway.WithRetryBudget(s.RetryLimits(), d.peers.FleetSize),
 		gateway.WithFeedback(d.peers.BroadcastFeedback, d.peers.Membership),
 		gateway.WithListAge(func() time.Duration {
 			age, _ := d.election.Age(carawayspread.ResourceEndpoints)
@@ -142,7 +142,7 @@
 // pulls them from peers, and their metrics.
 func (d *Daemon) setUpFollower(ports Ports) {
 	s := d.settings
-	d.election = zonereader.New(d.peers.ID(), s.Zone(), s.Capacity(), s.Terms(), d.clock)
+	d.election = zonereader.New(d.peers.ID(), s.Zone(), s.Capacity(), s.Bounds(), d.clock)
 	d.follower = follower.New(ports.Source(d), d.election, s.Zone(), s.Capacity(), d.peers.Announce, d.clock, ports.StoreTime)
 	d.peers.SetStatusFunc(d.peerStatus)
 	d.learner = knowledge.New(d.follower, d.peers.PeerAddresses, d.clock, d.log, d.gateway.Metrics(),
@@ -210,7 +210,7 @@
 		d.log.WithField("rolePolicy", d.settings.RolePolicy()).Warn("unknown role policy; using the default")
 		policy, _ = carawayspread.RolePolicies.Get(gatewaysettings.RolesBalanced)
 	}
-	if !supportsRoles || d.settings.RolePolicy() == gatewaysettings.RolesAsFound {
+	if !supportsRoles || d.settings.RolePolicy() == gatewaysettings.RolesStatic {
 		return
 	}
 	env := carawayspread.Environment{Clock: d.clock, Zone: d.settings.Zone()}
@@ -298,7 +298,7 @@
 	run(func(ctx context.Context) error { return d.follower.RunPulls(ctx, d.learner) })
 	run(d.learner.Run)
 	stopReports, stopCounts := d.runUsage(runCtx)
-	if d.settings.Revoked() > 0 || d.usage != nil {
+	if d.settings.RevocationBound() > 0 || d.usage != nil {
 		run(func(ctx context.Context) error { return d.follower.RunStoreClock(ctx, d.learner) })
 	}
 	if d.roleController != nil {
--- a/internal/soak/fleet/fleet.go
+++ b/internal/soak/fleet/fleet.go
@@ -208,7 +208,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range f.allWorkers {
-		f.history.RecordRequests(p.worker.ID(), p.worker.Seen())
+		f.history.RecordRequests(p.worker.ID(), p.worker.Requests())
 	}
 }
 
--- a/internal/soak/fleet/inject.go
+++ b/internal/soak/fleet/inject.go
@@ -39,8 +39,8 @@
 
 // behaviours are the ways in which workers answer wrongly or not at all.
 var behaviours = []worker.Behaviour{
-	worker.Refuse, worker.Bare503, worker.Break, worker.Cut, worker.Crossed, worker.Unsealed,
-	worker.Error500, worker.Extra, worker.Hang, worker.Misdirected, worker.LostHandle, worker.SlowEvents,
+	worker.Refuse, worker.Bare503, worker.CloseWithoutAnswer, worker.Truncate, worker.WrongRequestID, worker.Unsealed,
+	worker.Error500, worker.ExtraAnswer, worker.Hang, worker.Misdirected, worker.LostHandle, worker.SlowEvents,
 }
 
 // inject runs a schedule and returns when its last fault has ended.
@@ -73,7 +73,7 @@
 	case schedule.Reload:
 		return g.program.Signal(syscall.SIGHUP)
 	case schedule.StoreDown:
-		f.runFault(history.Store, step.Duration, func() { f.store.Answer(http.StatusServiceUnavailable) }, func() { f.store.Answer(0) })
+		f.runFault(history.Store, step.Duration, func() { f.store.FailWith(http.StatusServiceUnavailable) }, func() { f.store.FailWith(0) })
 	case schedule.StoreSilent:
 		f.runFault(history.Store, step.Duration, func() { f.storeRelay.SetFault(relay.Silent) }, func() { f.storeRelay.SetFault(relay.None) })
 	case schedule.Narrow:
@@ -83,7 +83,7 @@
 	case schedule.Misbehave:
 		rng, p := rand.New(rand.NewPCG(step.Random, 0)), f.pickWorker(step.Which)
 		for range 1 + rng.IntN(maxMisbehaviours) {
-			p.worker.Then(behaviours[rng.IntN(len(behaviours))])
+			p.worker.AppendScript(behaviours[rng.IntN(len(behaviours))])
 		}
 	case schedule.Drain:
 		return f.replaceWorker(step.Which)
--- a/internal/soak/fleet/load.go
+++ b/internal/soak/fleet/load.go
@@ -41,7 +41,7 @@
 	if err := f.waitReady(); err != nil {
 		return err
 	}
-	f.store.Idle(s.IdleRoutes())
+	f.store.SetUnusedRoutes(s.IdleRoutes())
 	f.publishRoutes()
 	f.loadStart = f.clock.Now()
 	loadCtx, stop := context.WithCancel(ctx)
@@ -58,7 +58,7 @@
 	f.inject(s)
 	<-f.clock.After(misbehaviourTime)
 	for _, p := range f.workers {
-		p.worker.Recover()
+		p.worker.ClearScript()
 	}
 	<-f.clock.After(settleTime)
 	stop()
@@ -73,7 +73,7 @@
 	for _, g := range f.gateways {
 		deadline := f.clock.Now().Add(readyTimeout)
 		for {
-			a := caller.New(g.listen).Ask(context.Background(), caller.Safe, "first-"+g.name)
+			a := caller.New(g.listen).Send(context.Background(), caller.Safe, "first-"+g.name)
 			if a.Status == http.StatusOK {
 				break
 			}
@@ -91,7 +91,7 @@
 func (f *Fleet) sendRequests(ctx context.Context, g *gateway, rng *rand.Rand, name string) {
 	c := caller.New(g.listen)
 	for n := 0; ctx.Err() == nil; n++ {
-		a := c.Ask(context.WithoutCancel(ctx), callerKinds[rng.IntN(len(callerKinds))], fmt.Sprint(name, "-", n))
+		a := c.Send(context.WithoutCancel(ctx), callerKinds[rng.IntN(len(callerKinds))], fmt.Sprint(name, "-", n))
 		f.history.RecordAnswer(g.name, a)
 		pause := time.Duration(rng.ExpFloat64() * float64(meanThinkTime))
 		if !a.Connected() {
@@ -114,7 +114,7 @@
 		c := caller.New(g.listen)
 		for n := range finalRequestsPerKind {
 			for _, kind := range callerKinds {
-				f.history.RecordFinalAnswer(g.name, c.Ask(ctx, kind, fmt.Sprintf("%d-last-%s-%s-%d", seed, g.name, kind, n)))
+				f.history.RecordFinalAnswer(g.name, c.Send(ctx, kind, fmt.Sprintf("%d-last-%s-%s-%d", seed, g.name, kind, n)))
 			}
 		}
 	}
--- a/internal/soak/history/feedback.go
+++ b/internal/soak/history/feedback.go
@@ -30,8 +30,8 @@
 			continue
 		}
 		path := link{a.process, worker}
-		if at, ok := first[path]; !ok || a.Ended.Before(at) {
-			first[path] = a.Ended
+		if at, ok := first[path]; !ok || a.EndedAt.Before(at) {
+			first[path] = a.EndedAt
 		}
 	}
 	return first
@@ -49,11 +49,11 @@
 // checkDrainFeedback: a process sends nothing to a worker after it has forwarded an answer
 // with which the worker reports that it is draining, whatever the store lists.
 func (h *History) checkDrainFeedback() []string {
-	first, answers := h.firstFeedback(func(a answer) bool { return a.Leaving }), h.answersByID()
+	first, answers := h.firstFeedback(func(a answer) bool { return a.ServerLeaving }), h.answersByID()
 	for _, r := range h.requests {
 		a, ok := answers[r.ID]
 		at, received := first[link{a.process, r.worker}]
-		if !ok || !received || !a.Asked.After(at.Add(h.bounds.Drain)) || h.overlaps(Target(a.process), at, r.At) {
+		if !ok || !received || !a.SentAt.After(at.Add(h.bounds.Drain)) || h.overlaps(Target(a.process), at, r.At) {
 			continue
 		}
 		return finding("%s was sent to %s by %s %v after an answer had told it that the worker leaves", r.ID, r.worker, a.process, r.At.Sub(at))
@@ -64,7 +64,7 @@
 // checkRateLimits: a worker gets no more than the rate that it reports from the processes
 // that have forwarded that report.
 func (h *History) checkRateLimits() []string {
-	feedback, answers := h.firstFeedback(func(a answer) bool { return a.Limited }), h.answersByID()
+	feedback, answers := h.firstFeedback(func(a answer) bool { return a.HasServerLimit }), h.answersByID()
 	for _, l := range h.rateLimits {
 		var arrived []time.Time
 		for _, r := range h.requests {
--- a/internal/soak/history/history.go
+++ b/internal/soak/history/history.go
@@ -58,7 +58,7 @@
 }
 
 type request struct {
-	worker.Seen
+	worker.Request
 	worker string
 }
 
@@ -98,7 +98,7 @@
 }
 
 // RecordRequests records what a worker received, except for control requests under /-/.
-func (h *History) RecordRequests(id string, seen []worker.Seen) {
+func (h *History) RecordRequests(id string, seen []worker.Request) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, s := range seen {
@@ -227,7 +227,7 @@
 // checkTimeout: the final answer arrives within the time limit if the process ran throughout.
 func (h *History) checkTimeout(a answer) []string {
 	limit := h.bounds.Timeouts[a.Kind] + h.bounds.Tolerance
-	if latency := a.Ended.Sub(a.Asked); latency > limit && !h.overlaps(Target(a.process), a.Asked, a.Ended) {
+	if latency := a.EndedAt.Sub(a.SentAt); latency > limit && !h.overlaps(Target(a.process), a.SentAt, a.EndedAt) {
 		return finding("%s had its final answer (%d) after %v, of %v", a.ID, a.Status, latency, limit)
 	}
 	return nil
@@ -236,7 +236,7 @@
 // checkAnswered: no caller is left without an answer by a process that ran throughout.
 func (h *History) checkAnswered(a answer) []string {
 	excused := slices.ContainsFunc(h.faults[Target(a.process)], func(w interval) bool {
-		return w.overlaps(a.Asked, a.Ended) && !(w.shutdown && a.Asked.Before(w.from))
+		return w.overlaps(a.SentAt, a.EndedAt) && !(w.shutdown && a.SentAt.Before(w.from))
 	})
 	if a.Status != 0 || !a.Connected() || excused {
 		return nil
@@ -271,7 +271,7 @@
 	attempts := map[string]int{}
 	end := h.start
 	for _, r := range h.requests {
-		if !r.Reads {
+		if !r.PrefillOnly {
 			attempts[r.ID]++
 		}
 		if r.At.After(end) {
--- a/internal/soak/history/history_test.go
+++ b/internal/soak/history/history_test.go
@@ -21,20 +21,20 @@
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	at := func(d time.Duration) time.Time { return start.Add(d) }
 	served := func(kind caller.Kind, body string) caller.Answer {
-		return caller.Answer{ID: "id", Kind: kind, Asked: at(0), Ended: at(time.Second), Status: 200, Seal: "w.id", Body: body}
+		return caller.Answer{ID: "id", Kind: kind, SentAt: at(0), EndedAt: at(time.Second), Status: 200, Seal: "w.id", Body: body}
 	}
-	refused := caller.Answer{ID: "id", Kind: caller.Unsafe, Asked: at(0), Ended: at(time.Second), Status: 503, ComeBack: true}
-	unanswered := caller.Answer{ID: "id", Kind: caller.Unsafe, Asked: at(0), Ended: at(time.Second), Err: errors.New("EOF")}
+	refused := caller.Answer{ID: "id", Kind: caller.Unsafe, SentAt: at(0), EndedAt: at(time.Second), Status: 503, HasRetryAfter: true}
+	unanswered := caller.Answer{ID: "id", Kind: caller.Unsafe, SentAt: at(0), EndedAt: at(time.Second), Err: errors.New("EOF")}
 	unconnected := unanswered
 	unconnected.Err = &net.OpError{Op: "dial", Err: errors.New("refused")}
 	truncated := served(caller.Unsafe, "w answ")
 	truncated.Err = errors.New("unexpected EOF")
 	late := served(caller.Unsafe, "w answers id")
-	late.Ended = at(4 * time.Second)
-	ran := func(d time.Duration, ids ...string) []worker.Seen {
-		var all []worker.Seen
+	late.EndedAt = at(4 * time.Second)
+	ran := func(d time.Duration, ids ...string) []worker.Request {
+		var all []worker.Request
 		for _, id := range ids {
-			all = append(all, worker.Seen{ID: id, Target: "/order/x", Header: http.Header{}, Ran: true, At: at(d)})
+			all = append(all, worker.Request{ID: id, Target: "/order/x", Header: http.Header{}, Ran: true, At: at(d)})
 		}
 		return all
 	}
@@ -47,14 +47,14 @@
 	later := func(h *History, from time.Time, n int, interval time.Duration) {
 		for i := range n {
 			id, asked := fmt.Sprint("later-", i), from.Add(time.Duration(i)*interval)
-			a := caller.Answer{ID: id, Kind: caller.Unsafe, Asked: asked, Ended: asked.Add(time.Second), Status: 200, Seal: "w." + id, Body: "w answers " + id}
+			a := caller.Answer{ID: id, Kind: caller.Unsafe, SentAt: asked, EndedAt: asked.Add(time.Second), Status: 200, Seal: "w." + id, Body: "w answers " + id}
 			h.RecordAnswer("g", a)
-			h.RecordRequests("w", []worker.Seen{{ID: id, Target: "/order/x", Header: http.Header{}, Ran: true, At: asked}})
+			h.RecordRequests("w", []worker.Request{{ID: id, Target: "/order/x", Header: http.Header{}, Ran: true, At: asked}})
 		}
 	}
 	for name, c := range map[string]struct {
 		answer caller.Answer
-		runs   []worker.Seen
+		runs   []worker.Request
 		with   func(*History)
 		want   string
 	}{
@@ -76,28 +76,28 @@
 		"no answer on a shutdown":                    {unanswered, nil, func(h *History) { h.RecordShutdown("g", at(time.Second-time.Millisecond), at(2*time.Second)) }, "without an answer by g"},
 		"sent after the process had exited":          {unanswered, nil, func(h *History) { h.RecordShutdown("g", at(-time.Millisecond), at(2*time.Second)) }, ""},
 		"connection refused":                         {unconnected, nil, nil, ""},
-		"sent after the process learnt that the worker drains": {servedWith(func(a *caller.Answer) { a.Leaving = true }), ran(0, "id"), func(h *History) {
+		"sent after the process learnt that the worker drains": {servedWith(func(a *caller.Answer) { a.ServerLeaving = true }), ran(0, "id"), func(h *History) {
 			later(h, at(5*time.Second), 1, 0)
 		}, "4s after an answer had told it"},
-		"sent within the drain bound of the feedback": {servedWith(func(a *caller.Answer) { a.Leaving = true }), ran(0, "id"), func(h *History) {
+		"sent within the drain bound of the feedback": {servedWith(func(a *caller.Answer) { a.ServerLeaving = true }), ran(0, "id"), func(h *History) {
 			later(h, at(2*time.Second), 1, 0)
 		}, ""},
-		"sent by a process that restarted after the feedback": {servedWith(func(a *caller.Answer) { a.Leaving = true }), ran(0, "id"), func(h *History) {
+		"sent by a process that restarted after the feedback": {servedWith(func(a *caller.Answer) { a.ServerLeaving = true }), ran(0, "id"), func(h *History) {
 			later(h, at(5*time.Second), 1, 0)
 			h.RecordFault("g", at(2*time.Second), at(3*time.Second))
 		}, ""},
 		"sent by a process without feedback": {served(caller.Unsafe, "w answers id"), ran(0, "id"), func(h *History) {
 			later(h, at(5*time.Second), 1, 0)
 		}, ""},
-		"above the rate": {servedWith(func(a *caller.Answer) { a.Limited = true }), ran(0, "id"), func(h *History) {
+		"above the rate": {servedWith(func(a *caller.Answer) { a.HasServerLimit = true }), ran(0, "id"), func(h *History) {
 			later(h, at(5*time.Second), 18, 200*time.Millisecond)
 			h.RecordRateLimit("w", 2, at(0), at(10*time.Second))
 		}, "got 18 requests in 4s, of 17"},
-		"at the rate": {servedWith(func(a *caller.Answer) { a.Limited = true }), ran(0, "id"), func(h *History) {
+		"at the rate": {servedWith(func(a *caller.Answer) { a.HasServerLimit = true }), ran(0, "id"), func(h *History) {
 			later(h, at(5*time.Second), 17, 200*time.Millisecond)
 			h.RecordRateLimit("w", 2, at(0), at(10*time.Second))
 		}, ""},
-		"above the rate while requests are in flight": {servedWith(func(a *caller.Answer) { a.Limited = true }), ran(0, "id"), func(h *History) {
+		"above the rate while requests are in flight": {servedWith(func(a *caller.Answer) { a.HasServerLimit = true }), ran(0, "id"), func(h *History) {
 			later(h, at(2*time.Second), 18, 50*time.Millisecond)
 			h.RecordRateLimit("w", 2, at(0), at(10*time.Second))
 		}, ""},
@@ -125,7 +125,7 @@
 		}, "5s after it had said"},
 		"too many attempts": {served(caller.Safe, "w answers id"), ran(0, "id", "id", "id", "id", "id"), nil, "4 attempts beyond the first"},
 		"not served at the end": {served(caller.Unsafe, "w answers id"), ran(0, "id"), func(h *History) {
-			h.RecordFinalAnswer("g", caller.Answer{ID: "last", Kind: caller.Safe, Asked: at(0), Ended: at(0), Status: 503})
+			h.RecordFinalAnswer("g", caller.Answer{ID: "last", Kind: caller.Safe, SentAt: at(0), EndedAt: at(0), Status: 503})
 		}, "last was not served by g"},
 		"too much memory": {served(caller.Unsafe, "w answers id"), ran(0, "id"), func(h *History) { h.RecordMemory("g", 101) }, "101 MB of 100"},
 		"enough memory":   {served(caller.Unsafe, "w answers id"), ran(0, "id"), func(h *History) { h.RecordMemory("g", 100) }, ""},
