--- a/internal/soak/history/history.go
+++ b/internal/soak/history/history.go
@@ -98,10 +98,10 @@
 }
 
 // RecordRequests records what a worker received, except for control requests under /-/.
-func (h *History) RecordRequests(id string, seen []worker.Request) {
+func (h *History) RecordRequests(id string, requests []worker.Request) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, s := range seen {
+	for _, s := range requests {
 		if !strings.HasPrefix(s.Target, "/-/") {
 			h.requests = append(h.requests, request{s, id})
 		}
@@ -145,7 +145,7 @@
 }
 
 // RequestCounts returns how many requests were sent and how many of them were served.
-func (h *History) RequestCounts() (asked, served int) {
+func (h *History) RequestCounts() (sent, served int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, a := range h.answers {
--- a/internal/soak/history/history_test.go
+++ b/internal/soak/history/history_test.go
@@ -46,17 +46,17 @@
 	// later adds n requests that w served, the first at from.
 	later := func(h *History, from time.Time, n int, interval time.Duration) {
 		for i := range n {
-			id, asked := fmt.Sprint("later-", i), from.Add(time.Duration(i)*interval)
-			a := caller.Answer{ID: id, Kind: caller.Unsafe, SentAt: asked, EndedAt: asked.Add(time.Second), Status: 200, Seal: "w." + id, Body: "w answers " + id}
+			id, sentAt := fmt.Sprint("later-", i), from.Add(time.Duration(i)*interval)
+			a := caller.Answer{ID: id, Kind: caller.Unsafe, SentAt: sentAt, EndedAt: sentAt.Add(time.Second), Status: 200, Seal: "w." + id, Body: "w answers " + id}
 			h.RecordAnswer("g", a)
-			h.RecordRequests("w", []worker.Request{{ID: id, Target: "/order/x", Header: http.Header{}, Ran: true, At: asked}})
+			h.RecordRequests("w", []worker.Request{{ID: id, Target: "/order/x", Header: http.Header{}, Ran: true, At: sentAt}})
 		}
 	}
 	for name, c := range map[string]struct {
-		answer caller.Answer
-		runs   []worker.Request
-		with   func(*History)
-		want   string
+		answer   caller.Answer
+		requests []worker.Request
+		with     func(*History)
+		want     string
 	}{
 		"served":                          {served(caller.Unsafe, "w answers id"), ran(0, "id"), nil, ""},
 		"ran twice":                       {served(caller.Unsafe, "w answers id"), ran(0, "id", "id"), nil, "ran 2 times"},
@@ -136,7 +136,7 @@
 				Tolerance: time.Second, Drain: 2 * time.Second, RetryRatio: 0.2, RetrySlack: 2, RetryWindow: 10 * time.Second, MemoryMegabytes: 100,
 			}, start)
 			h.RecordAnswer("g", c.answer)
-			h.RecordRequests("w", c.runs)
+			h.RecordRequests("w", c.requests)
 			if c.with != nil {
 				c.with(h)
 			}
