--- a/internal/connection/direct/client.go
+++ b/internal/connection/direct/client.go
@@ -96,7 +96,7 @@
 func (b singleUseBody) Read(p []byte) (int, error) { return b.r.Read(p) }
 func (singleUseBody) Close() error                 { return nil }
 
-// Send sends the request once. Its error matches carawayspread.ErrUnsent if no connection came about.
+// Send sends the request once. Its error matches carawayspread.ErrUnsent if no connection was established.
 func (c *Client) Send(ctx context.Context, to carawayspread.Endpoint, out carawayspread.Outbound) (*carawayspread.Reply, error) {
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
--- a/internal/controller/leadership/leadership.go
+++ b/internal/controller/leadership/leadership.go
@@ -28,7 +28,7 @@
 	// callTimeout bounds one call to the lease.
 	callTimeout = 800 * time.Millisecond
 	// minCandidacy is how long a process must be a candidate before it tries to acquire the lease:
-	// a longer-standing candidate knows more of what processes did that have since ended.
+	// a process that has been a candidate for longer knows more about processes that have since ended.
 	minCandidacy = 3 * time.Second
 	// maxCandidacyGap is how long a process may stop being a candidate without restarting that
 	// period: during an outage of the table other processes become candidates for a while.
--- a/internal/controller/orders/execute.go
+++ b/internal/controller/orders/execute.go
@@ -58,7 +58,7 @@
 		select {
 		case <-o.clock.After(pollEvery):
 		case <-ctx.Done():
-			return state, trace.Wrap(ctx.Err(), "the engine is changing or has requests")
+			return state, trace.Wrap(ctx.Err(), "waiting for the engine to finish its change and its requests")
 		}
 	}
 }
--- a/internal/controller/planfollower/follower.go
+++ b/internal/controller/planfollower/follower.go
@@ -102,7 +102,7 @@
 	var authority sync.WaitGroup
 	authority.Go(func() {
 		if err := engine.Run(session); err != nil && session.Err() == nil {
-			f.log.WithField("endpoint", endpoint).WithError(err).Warn("no authority over the engine")
+			f.log.WithField("endpoint", endpoint).WithError(err).Warn("no authority over the engine; the orders of this plan are not sent")
 		}
 	})
 	defer authority.Wait()
@@ -127,10 +127,10 @@
 			entry.Info("order executed")
 			return true
 		case errors.Is(err, orders.ErrOutdated):
-			entry.Info("order belongs to an outdated plan")
+			entry.Info("order belongs to an outdated plan; not sent")
 			return false
 		case !errors.Is(err, orders.ErrNoAuthority):
-			entry.WithError(err).Warn("order not in effect")
+			entry.WithError(err).Warn("order not in effect; retrying")
 		}
 		select {
 		case <-f.clock.After(retryEvery):
--- a/internal/controller/planner/planner.go
+++ b/internal/controller/planner/planner.go
@@ -89,7 +89,7 @@
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	if err := p.write(ctx, changes); err != nil {
-		p.log.WithError(err).Warn("plan not written")
+		p.log.WithError(err).Warn("plan not written or outcome unknown; planning again in the next round")
 	}
 }
 
--- a/internal/controller/usagereporter/reporter.go
+++ b/internal/controller/usagereporter/reporter.go
@@ -46,9 +46,9 @@
 	Processes(within time.Duration) []uint64
 }
 
-// Backoff returns the wait after a failed attempt, counted from 1.
+// Backoff draws the wait after a failed attempt. Attempts are counted from 1.
 type Backoff interface {
-	Draw(try int) time.Duration
+	Draw(attempt int) time.Duration
 }
 
 // pendingReport is a report that the platform has not accepted yet.
--- a/internal/daemon/entryd/control.go
+++ b/internal/daemon/entryd/control.go
@@ -30,6 +30,6 @@
 // Drain makes the entry refuse new requests. It does not wait for the running ones.
 func (d *Daemon) Drain(_ context.Context, req *control.DrainRequest) (*control.DrainResponse, error) {
 	d.entry.Drain()
-	d.base.Log().WithField("actor", req.GetActor()).Info("drain ordered")
+	d.base.Log().WithField("actor", req.GetActor()).Info("drain ordered by an operator; refusing new requests, running ones finish")
 	return &control.DrainResponse{}, nil
 }
--- a/internal/daemon/gatewayd/daemon.go
+++ b/internal/daemon/gatewayd/daemon.go
@@ -165,8 +165,8 @@
 	}
 }
 
-// freshness implements carawayspread.ConfigFreshness by the follower, which is created after the
-// gateway that uses it.
+// freshness implements carawayspread.ConfigFreshness with the follower, which is created after the
+// gateway that uses freshness.
 type freshness struct{ d *Daemon }
 
 func (f freshness) Age() (time.Duration, bool)        { return f.d.follower.Age() }
--- a/internal/daemon/sidecard/control.go
+++ b/internal/daemon/sidecard/control.go
@@ -32,7 +32,7 @@
 // Drain stops new requests to one endpoint, or to all if none is named. Running requests finish.
 func (d *Daemon) Drain(_ context.Context, req *control.DrainRequest) (*control.DrainResponse, error) {
 	running := d.sidecar.Drain(carawayspread.EndpointID(req.GetEndpoint()))
-	d.base.Log().WithField("endpoint", req.GetEndpoint()).WithField("actor", req.GetActor()).WithField("running", running).Info("drain ordered")
+	d.base.Log().WithField("endpoint", req.GetEndpoint()).WithField("actor", req.GetActor()).WithField("running", running).Info("drain ordered by an operator; refusing new requests, running ones finish")
 	d.report()
 	return &control.DrainResponse{Running: uint32(running)}, nil
 }
--- a/internal/daemon/sidecard/daemon.go
+++ b/internal/daemon/sidecard/daemon.go
@@ -131,7 +131,7 @@
 	next := d.reporter.Next(d.sidecar.Load(), d.base.Config().Held().Version(), d.sidecar.Draining())
 	err := d.reports.Send(next, *d.entries.Load())
 	if err != nil {
-		d.base.Log().WithError(err).Warn("cannot send load report")
+		d.base.Log().WithError(err).Warn("cannot send load report; the loads that entries know are outdated until the next report")
 	}
 }
 
--- a/internal/daemon/sidecard/orders.go
+++ b/internal/daemon/sidecard/orders.go
@@ -56,9 +56,9 @@
 	return orders.New(client, engineLease, d.base.Clock(), opts...)
 }
 
-// quiesce waits until no request runs at an endpoint and refuses new ones. Entries learn of it from the
-// refusals, after which they send the requests to other endpoints, and from the next report. The
-// returned function ends it and reports that at once.
+// quiesce makes an endpoint refuse new requests and waits until none runs there. Entries learn of it
+// from the refusals, after which they send the requests to other endpoints, and from the next report.
+// The returned function admits requests again and reports that at once.
 func (d *Daemon) quiesce(ctx context.Context, id carawayspread.EndpointID) (func(), error) {
 	resume, err := d.sidecar.Quiesce(ctx, id)
 	if err != nil {
--- a/internal/decision/placement/attempt.go
+++ b/internal/decision/placement/attempt.go
@@ -43,7 +43,7 @@
 	// With a timeout of a multiple of the expected time, attempts in a long queue were given up and
 	// restarted at the end of another queue: two in five prefills at a peak were wasted. An
 	// endpoint that answers earlier attempts is waited for. One that holds a request and answers
-	// the rest is detected by the attempts that overtake, and one that is dead by its silence.
+	// the rest is detected by the attempts that overtake, and one that has failed by its silence.
 	minSilence    = 600 * time.Millisecond
 	silenceFactor = 4
 )
--- a/internal/decision/placement/engine.go
+++ b/internal/decision/placement/engine.go
@@ -255,8 +255,8 @@
 // Slowdown and delay follow by normalised least mean squares, in units of initialDelay: short
 // prompts determine the delay, long ones the slowdown. Each process learns them from its own
 // answers alone. When they were shared with all processes, answers that waited behind unknown
-// prefills made every engine look slow to every process (0.709 instead of 0.740 of the answers
-// owed, with 117 engines).
+// prefills made every engine look slow to every process (with 117 engines, 0.709 instead of 0.740
+// of the due answers).
 func (e *engine) learnFromPrefill(now time.Time, a *attempt) time.Duration {
 	prefillTime := a.expectedEnd.Sub(a.expectedStart)
 	modelError := time.Duration(modelErrorShare * float64(prefillTime+e.delay))
--- a/internal/decision/rolepolicy/load.go
+++ b/internal/decision/rolepolicy/load.go
@@ -7,7 +7,7 @@
 	"carawayspread"
 )
 
-// load is arriving work, in engine-seconds a second.
+// load is arriving work, in engine-seconds per second.
 type load struct {
 	prefill, decode float64 // sums over the classes; not negative
 	classes         []classLoad
--- a/internal/measure/entry_test.go
+++ b/internal/measure/entry_test.go
@@ -32,9 +32,9 @@
 	class          int
 	entry          *entry
 	prompt, shared float64 // tokens, and how many of them a prefix cache may hold
-	answer         float64
-	prefix         uint64
-	priority       int64 // engines prefill the lowest value first
+	answer         float64 // tokens
+	prefix         uint64  // identifies the shared prefix
+	priority       int64   // engines prefill the lowest value first
 
 	prefillTokens, remaining, endsAt float64       // tokens; maintained by the engine
 	scheduledAt, sentAt              time.Duration // when the scheduler released it, and when it was sent to an engine
--- a/internal/measure/run_test.go
+++ b/internal/measure/run_test.go
@@ -18,8 +18,8 @@
 // kind is a request class and the shape of its requests.
 type kind struct {
 	class          carawayspread.Class
-	plain          bool // served by the records service
-	prompt, answer float64
+	plain          bool    // served by the records service
+	prompt, answer float64 // mean lengths in tokens
 	sharedPrefix   float64 // tokens of the prompt's shared prefix
 	prefixes       int     // number of different shared prefixes
 }
--- a/internal/process/admin/read.go
+++ b/internal/process/admin/read.go
@@ -97,8 +97,8 @@
 			auditLine.Verdict = auditrecord.Refused
 		}
 	}
-	if noteErr := a.configLog.WriteAudit(r.Context(), auditLine); noteErr != nil {
-		a.logger.WithField("actor", actor).WithError(noteErr).Warn("admin.auditUnwritten")
+	if auditErr := a.configLog.WriteAudit(r.Context(), auditLine); auditErr != nil {
+		a.logger.WithField("actor", actor).WithError(auditErr).Warn("admin.auditUnwritten")
 	}
 	if err != nil {
 		return nil, err
--- a/internal/process/confsync/refresh.go
+++ b/internal/process/confsync/refresh.go
@@ -49,7 +49,7 @@
 // needsRead reports whether an announced version is newer than the held one and not covered by a
 // read of the log.
 func (s *Syncer) needsRead(version uint64) bool {
-	return version > uint64(s.Held().Version()) && version > s.settled.Load()
+	return version > uint64(s.Held().Version()) && version > s.coveredVersion.Load()
 }
 
 // jitter randomizes d by up to a quarter in both directions, so that daemons started together do
@@ -113,7 +113,7 @@
 	go func() { read <- s.readLog(ctx, began) }()
 
 	if s.awaitLog(read) {
-		storeMax(&s.settled, announced)
+		storeMax(&s.coveredVersion, announced)
 		s.finish(r, began)
 		return
 	}
--- a/internal/process/confsync/syncer.go
+++ b/internal/process/confsync/syncer.go
@@ -52,12 +52,12 @@
 	readJitter    time.Duration // maximum delay of the read after a change is announced
 	hedge         time.Duration // delay after which peers are queried in addition to a slow table
 
-	state       atomic.Pointer[state] // never nil; its version never decreases
-	lastAttempt atomic.Pointer[stamp] // start of the last finished round; nil before the first
-	settled     atomic.Uint64         // highest announced version covered by a read of the log
-	announced   atomic.Uint64         // highest version announced by peers
-	wake        chan struct{}         // holds at most one wake-up of Run
-	inFlight    sync.Map              // addresses of peers with a pending query
+	state          atomic.Pointer[state] // never nil; its version never decreases
+	lastAttempt    atomic.Pointer[stamp] // start of the last finished round; nil before the first
+	coveredVersion atomic.Uint64         // highest announced version covered by a read of the log
+	announced      atomic.Uint64         // highest version announced by peers
+	wake           chan struct{}         // holds at most one wake-up of Run
+	inFlight       sync.Map              // addresses of peers with a pending query
 
 	mu      sync.Mutex      // guards the fields below, and writes of state
 	round   *round          // the running round, or nil
@@ -192,15 +192,16 @@
 	}
 }
 
-// Adopt takes over a configuration whose change this process has just had accepted.
+// Adopt adopts the configuration that results from a change which this process has just appended to the
+// configuration log, with the record of that change.
 func (s *Syncer) Adopt(cfg *carawayspread.Config, r record.Record) {
 	s.accept(cfg, []record.Record{r}, stamp{})
 }
 
-// accept takes a configuration, the records that lead to it and the moment at which it was the
-// newest, zero if unknown. A late or reordered response has an older version, and the held one is
-// kept. Its confirmation still counts, since the version that was the newest at that moment is not
-// newer than the held one.
+// accept adopts cfg if it is newer than the held configuration. records lead to it, and confirmed is
+// the moment at which it was the newest, zero if unknown. A late or reordered response has an older
+// version, and the held one is kept. Its confirmation still counts, since the version that was the
+// newest at that moment is not newer than the held one.
 func (s *Syncer) accept(cfg *carawayspread.Config, records []record.Record, confirmed stamp) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/process/gateway/call.go
+++ b/internal/process/gateway/call.go
@@ -197,8 +197,8 @@
 		c.logAttempt(at, phase, err.Error())
 		return c.mayRetry(), err
 	}
-	// Connections may break, minutes apart, under a request that many callers send; without this
-	// the request would be quarantined for all of them. A request that crashes endpoints is never
+	// While a request that many callers send is running, connections may break, minutes apart, for
+	// other reasons; without this the request would be quarantined for all of them. A request that crashes endpoints is never
 	// answered, so each answer removes it from quarantine, in every process.
 	if c.g.quarantine.Served(c.fingerprint) {
 		c.g.reportAnswer(c.fingerprint)
--- a/internal/process/gateway/gateway.go
+++ b/internal/process/gateway/gateway.go
@@ -43,8 +43,8 @@
 	drainMargin = 300 * time.Millisecond
 	// defaultBodyLimit bounds a body in bytes where operators set no limit.
 	defaultBodyLimit = 4 << 20
-	// quarantineDuration is how long a request is refused after the connections of two endpoints
-	// broke under it. It outlasts the retries of callers.
+	// quarantineDuration is how long a request is refused after the connections to two endpoints
+	// broke while the request was running there. It outlasts the retries of callers.
 	quarantineDuration = 2 * time.Minute
 )
 
@@ -78,7 +78,7 @@
 	budgets map[string]*fleetbudget.Budget
 }
 
-// drainWindow is the remaining time of a process that was ordered to end.
+// drainWindow is the remaining time of a process that has been told to shut down.
 type drainWindow struct {
 	restrictFrom time.Time // from here on, only requests that surely end in time are accepted
 	end          time.Time
--- a/internal/version/document/values.go
+++ b/internal/version/document/values.go
@@ -77,7 +77,7 @@
 	}
 	value, err := strconv.ParseFloat(string(literal), 64)
 	if err != nil {
-		n.Fail("is no number that can be held: %s", literal)
+		n.Fail("is out of the range of numbers: %s", literal)
 		return 0
 	}
 	return value
