--- a/cmd/gateway/alone_test.go
+++ b/cmd/gateway/alone_test.go
@@ -15,70 +15,69 @@
 	"carawayspread/internal/version/gatewaysettings"
 )
 
-// beside returns a process of the same deployment that knows another by its
-// address, and whose store is its own to switch off.
-func (f *fleet) beside(t testing.TB, store string) *fleet {
+// secondGateway returns another gateway of the same deployment, with the first one as its seed. It
+// uses the store at that address, which may be one that does not answer.
+func (f *fleet) secondGateway(t testing.TB, store string) *fleet {
 	t.Helper()
-	const free = "127.0.0.1:0"
-	next := &fleet{store: f.store, out: &lines{}, ended: make(chan error, 1)}
+	const anyPort = "127.0.0.1:0"
+	next := &fleet{store: f.store, out: &logBuffer{}, ended: make(chan error, 1)}
 	text := fmt.Sprintf(`{"instance":{"id":"g2","zone":"z"},"addresses":{"listen":%q,"health":%q,"peer":%q,"metrics":%q},
 		"store":%q,"seeds":[%q],"grace":"8s","memoryMegabytes":100,"retries":{"ratio":0.2,"slack":50,"window":"10s"}}`,
-		free, free, free, free, store, f.daemon.Peer())
+		anyPort, anyPort, anyPort, anyPort, store, f.daemon.Peer())
 	var err error
 	next.settings, err = gatewaysettings.Parse("test", []byte(text))
 	qt.Assert(t, err, qt.IsNil)
 	return next
 }
 
-// Callers are served by a process that has started while the store answers
-// nobody. A peer that learnt routes and endpoints before hands them on; what it
-// learns later is handed on too, and nothing older is taken back when the store
-// answers again.
-func TestProcessThatStartsWithoutTheStore(t *testing.T) {
+// Guards against a gateway that cannot serve because it starts while it cannot reach the store. A
+// peer that has routes and endpoints passes them on, and later changes too; a worker that drains is
+// not made available again by older knowledge.
+func TestGatewayStartsWithoutTheStore(t *testing.T) {
 	f := newFleet(t)
 	w := startWorker(t, "w")
 	f.list(w, "plain", "", "ready", 1)
 	f.start(t)
-	f.ready(t)
-	late := f.beside(t, "127.0.0.1:1")
+	f.waitReady(t)
+	late := f.secondGateway(t, "127.0.0.1:1")
 	late.start(t)
 	begun := time.Now()
-	late.ready(t)
+	late.waitReady(t)
 	qt.Check(t, time.Since(begun) < 3*time.Second, qt.IsTrue)
-	resp, body, err := late.ask("POST", "/order/x", "id-1", "text")
+	resp, body, err := late.send("POST", "/order/x", "id-1", "text")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, resp.StatusCode, qt.Equals, 200)
 	qt.Check(t, body, qt.Equals, "w answers id-1")
 
-	f.routes(7, "model")
-	until(t, func() bool { return strings.Contains(late.out.String(), "version=7") })
-	stays := startWorker(t, "w-stays")
-	f.list(stays, "plain", "", "ready", 1)
+	f.publishRoutes(7, "model")
+	waitUntil(t, func() bool { return strings.Contains(late.out.String(), "version=7") })
+	staying := startWorker(t, "w-stays")
+	f.list(staying, "plain", "", "ready", 1)
 	f.list(w, "plain", "", "draining", 2)
-	time.Sleep(4 * time.Second) // both have read the list, one after the other
+	time.Sleep(4 * time.Second) // both have the list by now, one after the other
 	before := len(w.Seen())
 	for i := range 8 {
-		resp, _, err := late.ask("POST", "/order/x", fmt.Sprint("id-late-", i), fmt.Sprint("body ", i))
+		resp, _, err := late.send("POST", "/order/x", fmt.Sprint("id-late-", i), fmt.Sprint("body ", i))
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, resp.StatusCode, qt.Equals, 200)
 	}
 	qt.Check(t, len(w.Seen()), qt.Equals, before)
-	qt.Check(t, stays.Ran(), qt.Equals, 8)
+	qt.Check(t, staying.Ran(), qt.Equals, 8)
 }
 
-// No caller's connection closes without an answer because its process ends. The
-// request arrives when the process has found none running and is about to end.
-func TestRequestAsTheProcessEndsIsAnswered(t *testing.T) {
+// Guards against a connection that is closed without an answer at shutdown. The request arrives
+// after the process has found none running and is about to end.
+func TestRequestAtShutdownIsAnswered(t *testing.T) {
 	f := newFleet(t)
 	f.list(startWorker(t, "w"), "plain", "", "ready", 1)
 	f.start(t)
-	f.ready(t)
+	f.waitReady(t)
 	conn, err := net.Dial("tcp", f.daemon.Listen())
 	qt.Assert(t, err, qt.IsNil)
 	defer func() { _ = conn.Close() }()
 	f.stop()
-	until(t, func() bool { return !f.daemon.Ready() })
-	time.Sleep(3100 * time.Millisecond) // it has seen that nothing runs
+	waitUntil(t, func() bool { return !f.daemon.Ready() })
+	time.Sleep(3100 * time.Millisecond) // the process has found no running request
 	_, err = conn.Write([]byte("GET /lookup/x HTTP/1.1\r\nHost: a.example\r\nCarawayspread-Request-Id: id-1\r\n\r\n"))
 	qt.Assert(t, err, qt.IsNil)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -86,10 +85,10 @@
 	qt.Check(t, resp.StatusCode, qt.Equals, 200)
 }
 
-// Callers get their own answers only. An endpoint sends a second answer after the
-// first, at once, on a connection that is kept; the next request to it goes out
-// on that connection or on another, and the stray answer belongs to nobody.
-func TestStrayAnswerReachesNobody(t *testing.T) {
+// Guards against a caller that gets an answer to another request. An endpoint sends a second
+// response right after the first on a kept connection; the next request to it uses that connection
+// or another, and the second response must be dropped.
+func TestUnsolicitedResponseReachesNoCaller(t *testing.T) {
 	f := newFleet(t)
 	script := make([]worker.Behaviour, 40)
 	for i := range script {
@@ -98,10 +97,10 @@
 	w := startWorker(t, "w", script...)
 	f.list(w, "plain", "", "ready", 1)
 	f.start(t)
-	f.ready(t)
+	f.waitReady(t)
 	for i := range 40 {
 		id := fmt.Sprint("id-", i)
-		resp, body, err := f.ask("GET", fmt.Sprint("/lookup/", i), id, "")
+		resp, body, err := f.send("GET", fmt.Sprint("/lookup/", i), id, "")
 		qt.Assert(t, err, qt.IsNil)
 		if resp.StatusCode == 200 {
 			qt.Check(t, body, qt.Equals, "w answers "+id)
@@ -110,43 +109,42 @@
 	qt.Check(t, w.Ran() > 20, qt.IsTrue)
 }
 
-// A caller is served although the engine that was to read its prompt has just
-// changed its role: the engine says that it has not run the request, its entry
-// in the list is still the old one, and another engine reads instead.
-func TestRoleChangesUnderARequest(t *testing.T) {
+// Guards against a request that fails because the engine chosen for its prefill has just changed
+// its role. The engine reports that it has not run the request while its row in the list is still
+// the old one, and another engine prefills instead.
+func TestPrefillEngineThatChangedItsRoleIsReplaced(t *testing.T) {
 	f := newFleet(t)
-	changed, answerer := startWorker(t, "w-changed", worker.Misdirected, worker.Misdirected), startWorker(t, "w-answerer")
+	changed, decodeEngine := startWorker(t, "w-changed", worker.Misdirected, worker.Misdirected), startWorker(t, "w-answerer")
 	f.list(changed, "model", "prefill", "ready", 1)
-	f.list(answerer, "model", "decode", "ready", 1)
+	f.list(decodeEngine, "model", "decode", "ready", 1)
 	f.start(t)
-	f.ready(t)
-	resp, body, err := f.ask("POST", "/stream/x", "id-1", "p", prompt, "9000,100")
+	f.waitReady(t)
+	resp, body, err := f.send("POST", "/stream/x", "id-1", "p", tokenCountHeader, "9000,100")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, resp.StatusCode, qt.Equals, 200)
 	qt.Check(t, strings.Count(body, "data: part"), qt.Equals, worker.Events)
-	qt.Check(t, answerer.Ran(), qt.Equals, 1)
+	qt.Check(t, decodeEngine.Ran(), qt.Equals, 1)
 	qt.Check(t, len(changed.Seen()), qt.Equals, 1)
 }
 
-// recovered bounds the time from the start of a process, with a store that
-// answers, to its first answer. Nothing lasts where it runs.
-const recovered = 2 * time.Second
+// coldStartBound bounds the time from the start of a process to its first answer, with a store that
+// answers. A process keeps no state on its disk.
+const coldStartBound = 2 * time.Second
 
-// Callers wait for seconds, not longer, after every process has died: one that
-// starts anew reads routes and endpoints and serves, though nobody tells it what
-// was known before.
-func TestServesAgainFromNothing(t *testing.T) {
+// Guards against a long outage after all processes have died: a process that starts without peers
+// reads routes and endpoints from the store and serves within seconds.
+func TestColdStartServesInTime(t *testing.T) {
 	f := newFleet(t)
 	f.list(startWorker(t, "w"), "plain", "", "ready", 1)
 	for range 3 {
 		begun := time.Now()
 		f.start(t)
 		for {
-			resp, _, err := f.ask("GET", "/lookup/x", fmt.Sprint("id-", time.Now().UnixNano()), "")
+			resp, _, err := f.send("GET", "/lookup/x", fmt.Sprint("id-", time.Now().UnixNano()), "")
 			if err == nil && resp.StatusCode == 200 {
 				break
 			}
-			qt.Assert(t, time.Since(begun) < recovered, qt.IsTrue)
+			qt.Assert(t, time.Since(begun) < coldStartBound, qt.IsTrue)
 		}
 		t.Logf("first answer after %v", time.Since(begun))
 	}
--- a/cmd/gateway/bench_test.go
+++ b/cmd/gateway/bench_test.go
@@ -16,13 +16,13 @@
 // BenchmarkRequest compares a request of 600 bytes through a gateway with the
 // same request sent straight to the endpoint, over kept connections.
 func BenchmarkRequest(b *testing.B) {
-	for _, way := range []string{"straight", "gateway"} {
-		b.Run(way, func(b *testing.B) {
+	for _, path := range []string{"straight", "gateway"} {
+		b.Run(path, func(b *testing.B) {
 			w, err := worker.New("w")
 			qt.Assert(b, err, qt.IsNil)
 			defer w.Close()
 			address := w.Address()
-			if way == "gateway" {
+			if path == "gateway" {
 				f := newFleet(b)
 				f.list(w, "plain", "", "ready", 1)
 				f.start(b)
--- a/cmd/gateway/configuration_test.go
+++ b/cmd/gateway/configuration_test.go
@@ -29,15 +29,16 @@
 )
 
 const (
-	// narrow is the link of the smallest instances, in bits a second.
-	narrow = 10e6
-	// inForce is the shortest time in which a change must be in force everywhere.
-	inForce = 2 * time.Second
-	// changeBytes bounds what a process is sent for a change of one route.
-	changeBytes = 4 << 10
+	// linkBitsPerSecond is the bandwidth of the smallest instances.
+	linkBitsPerSecond = 10e6
+	// applyBound is the shortest time in which a change must be in force everywhere.
+	applyBound = 2 * time.Second
+	// maxChangeBytes bounds the bytes that a process is sent for a change of one route.
+	maxChangeBytes = 4 << 10
 )
 
-// configuration is one of that many routes, of which the first goes to the service.
+// configuration returns a configuration with that many routes, the first of which leads to the
+// service.
 func configuration(version, routes int, service string) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"version":%d,"routes":[`, version)
@@ -53,33 +54,33 @@
 	return b.Bytes()
 }
 
-// routed is a catalog's sink that keeps what it takes.
-type routed struct {
+// recordingSink is a catalog's sink that records the routing and the number of endpoints.
+type recordingSink struct {
 	mu        sync.Mutex
 	routing   *carawayspread.Routing
 	endpoints int
 }
 
-func (r *routed) Adopt(t *carawayspread.Routing) {
+func (r *recordingSink) Adopt(t *carawayspread.Routing) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.routing = t
 }
 
-func (r *routed) Listed(all []carawayspread.Endpoint) {
+func (r *recordingSink) Listed(all []carawayspread.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.endpoints = len(all)
 }
 
-func (r *routed) listed() int {
+func (r *recordingSink) endpointCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.endpoints
 }
 
-// holds returns the service of the first route.
-func (r *routed) holds() string {
+// firstService returns the service of the first route; empty if there is none.
+func (r *recordingSink) firstService() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.routing == nil {
@@ -92,10 +93,10 @@
 	return route.Shares[0].Service
 }
 
-// peer is a process's knowledge, which others reach over a link of its own.
+// peer is the catalog of one process, which others reach over a link with limited bandwidth.
 type peer struct {
 	*catalog.Catalog
-	sink    *routed
+	sink    *recordingSink
 	learner *knowledge.Learner
 	link    *relay.Relay
 }
@@ -105,7 +106,7 @@
 func newPeer(t *testing.T, store string) *peer {
 	t.Helper()
 	quiet := &log.Logger{Handler: discard.New(), Level: log.FatalLevel}
-	p := &peer{sink: &routed{}}
+	p := &peer{sink: &recordingSink{}}
 	p.Catalog = catalog.New(rowsclient.New(direct.New(), store), p.sink, quiet)
 	clock := carawayspread.SystemClock()
 	p.learner = knowledge.New(p, func() []string { return nil }, clock, quiet, metrics.NewSet())
@@ -120,41 +121,41 @@
 	link, err := relay.New(strings.TrimPrefix(server.URL, "http://"), carawayspread.SystemClock())
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(link.Close)
-	link.Narrow(narrow)
+	link.Narrow(linkBitsPerSecond)
 	return link
 }
 
-func (p *peer) take(t *testing.T, version int, body []byte) {
+func (p *peer) learn(t *testing.T, version int, body []byte) {
 	t.Helper()
 	_, err := p.Learn(carawayspread.Knowledge{Routes: carawayspread.Document{Version: uint64(version), Body: body}})
 	qt.Assert(t, err, qt.IsNil)
 }
 
-// asks has the process ask the other until it holds what is expected.
-func (p *peer) asks(t *testing.T, other *peer, want string, within time.Duration) {
+// pullUntil has the process pull from the other until its first route leads to the wanted service.
+func (p *peer) pullUntil(t *testing.T, other *peer, want string, within time.Duration) {
 	t.Helper()
 	begun := time.Now()
-	for p.sink.holds() != want {
+	for p.sink.firstService() != want {
 		_ = p.learner.Pull(context.Background(), other.link.Address(), carawayspread.ResourceRoutes)
-		if p.sink.holds() != want {
+		if p.sink.firstService() != want {
 			qt.Assert(t, time.Since(begun) < within, qt.IsTrue, qt.Commentf("not in force after %v, %d bytes", time.Since(begun), other.link.Answered()))
 		}
 	}
 }
 
-// Guards against a change of one route that is not in force in time, as it moves the
+// Guards against a change of one route that is not in force in time, because it transfers the
 // whole configuration over the link of a small instance.
 func TestChangeOfALargeConfigurationIsInForceInTime(t *testing.T) {
 	for _, routes := range []int{49, 2859, 14009} {
 		t.Run(fmt.Sprint(routes), func(t *testing.T) {
 			from, to := newPeer(t, "127.0.0.1:1"), newPeer(t, "127.0.0.1:1")
 			for _, p := range []*peer{from, to} {
-				p.take(t, 7, configuration(7, routes, "plain"))
+				p.learn(t, 7, configuration(7, routes, "plain"))
 			}
-			from.take(t, 9, configuration(9, routes, "other"))
-			to.asks(t, from, "other", inForce)
+			from.learn(t, 9, configuration(9, routes, "other"))
+			to.pullUntil(t, from, "other", applyBound)
 			qt.Check(t, to.sink.routing.Version(), qt.Equals, carawayspread.Version(9))
-			qt.Check(t, from.link.Answered() < changeBytes, qt.IsTrue, qt.Commentf("%d bytes", from.link.Answered()))
+			qt.Check(t, from.link.Answered() < maxChangeBytes, qt.IsTrue, qt.Commentf("%d bytes", from.link.Answered()))
 		})
 	}
 }
@@ -163,28 +164,28 @@
 func TestManyRoutesAddedAreInForceInTime(t *testing.T) {
 	from, to := newPeer(t, "127.0.0.1:1"), newPeer(t, "127.0.0.1:1")
 	for _, p := range []*peer{from, to} {
-		p.take(t, 7, configuration(7, 1460, "plain"))
+		p.learn(t, 7, configuration(7, 1460, "plain"))
 	}
-	from.take(t, 9, configuration(9, 2860, "other"))
-	to.asks(t, from, "other", inForce)
+	from.learn(t, 9, configuration(9, 2860, "other"))
+	to.pullUntil(t, from, "other", applyBound)
 	qt.Check(t, to.sink.routing.Len(), qt.Equals, 2860)
 	t.Logf("%d bytes", from.link.Answered())
 }
 
-// whole bounds the time in which a process without a configuration has the largest
-// over a narrow link.
-const whole = 5 * time.Second
+// transferBound bounds the time in which a process without a configuration receives the largest one
+// over a link with limited bandwidth.
+const transferBound = 5 * time.Second
 
-// Guards against a process that never has a configuration, since the transfer of a large
-// one is given up while it arrives.
+// Guards against a process that never gets a configuration, because the transfer of a large one is
+// aborted while it makes progress.
 func TestLargeConfigurationArrivesOverANarrowLink(t *testing.T) {
 	from, to := newPeer(t, "127.0.0.1:1"), newPeer(t, "127.0.0.1:1")
-	from.take(t, 7, configuration(7, 14009, "other"))
-	to.asks(t, from, "other", whole)
+	from.learn(t, 7, configuration(7, 14009, "other"))
+	to.pullUntil(t, from, "other", transferBound)
 	qt.Check(t, to.sink.routing.Len(), qt.Equals, 14009)
 }
 
-// Guards against the same where it comes from the store.
+// Guards against the same failure where the configuration is read from the store.
 func TestLargeConfigurationIsReadOverANarrowLink(t *testing.T) {
 	store := rows.New()
 	store.Put("op", "config", configuration(7, 14009, "other"))
@@ -192,11 +193,11 @@
 	t.Cleanup(server.Close)
 	p := newPeer(t, newLink(t, server).Address())
 	qt.Assert(t, p.Read(context.Background(), carawayspread.ResourceRoutes), qt.IsNil)
-	qt.Check(t, p.sink.holds(), qt.Equals, "other")
+	qt.Check(t, p.sink.firstService(), qt.Equals, "other")
 }
 
-// Guards against an endpoint that leaves and is still sent requests, since the list of
-// endpoints waits for a large configuration that is on its way.
+// Guards against a draining endpoint that is still sent requests, because the list of endpoints
+// waits for the transfer of a large configuration.
 func TestEndpointsDoNotWaitForALargeConfiguration(t *testing.T) {
 	store := rows.New()
 	store.Put("op", "config", configuration(7, 14009, "other"))
@@ -204,20 +205,20 @@
 	server := httptest.NewServer(store)
 	t.Cleanup(server.Close)
 	from, to := newPeer(t, strings.TrimPrefix(server.URL, "http://")), newPeer(t, "127.0.0.1:1")
-	clock, terms := carawayspread.SystemClock(), zonereader.Bounds{Drain: inForce, ConfigApply: inForce}
-	rota := zonereader.New(2, "z", 1, terms, clock)
-	f := follower.New(to, rota, "z", 1, func() {}, clock, storetime.New(uptime.Clock{}))
+	clock, bounds := carawayspread.SystemClock(), zonereader.Bounds{Drain: applyBound, ConfigApply: applyBound}
+	election := zonereader.New(2, "z", 1, bounds, clock)
+	f := follower.New(to, election, "z", 1, func() {}, clock, storetime.New(uptime.Clock{}))
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- f.RunPulls(ctx, to.learner) }()
 	t.Cleanup(func() { stop(); <-ended })
-	says := carawayspread.PeerStatus{Zone: "z", Capacity: 2, CanReadStore: true}
-	for of := range carawayspread.ResourceCount {
-		qt.Assert(t, from.Read(t.Context(), of), qt.IsNil)
-		says.Resources[of] = from.Status(of)
+	status := carawayspread.PeerStatus{Zone: "z", Capacity: 2, CanReadStore: true}
+	for resource := range carawayspread.ResourceCount {
+		qt.Assert(t, from.Read(t.Context(), resource), qt.IsNil)
+		status.Resources[resource] = from.Status(resource)
 	}
-	for begun := time.Now(); to.sink.listed() == 0; time.Sleep(50 * time.Millisecond) {
-		f.ObservePeer(1, from.link.Address(), says)
-		qt.Assert(t, time.Since(begun) < inForce, qt.IsTrue, qt.Commentf("no endpoints after %v", time.Since(begun)))
+	for begun := time.Now(); to.sink.endpointCount() == 0; time.Sleep(50 * time.Millisecond) {
+		f.ObservePeer(1, from.link.Address(), status)
+		qt.Assert(t, time.Since(begun) < applyBound, qt.IsTrue, qt.Commentf("no endpoints after %v", time.Since(begun)))
 	}
 }
--- a/cmd/gateway/gateway_test.go
+++ b/cmd/gateway/gateway_test.go
@@ -35,30 +35,30 @@
 	"carawayspread/platform/wire"
 )
 
-// lines is where a daemon under test logs to.
-type lines struct {
+// logBuffer collects the log of a daemon under test.
+type logBuffer struct {
 	mu sync.Mutex
 	b  strings.Builder
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(p)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.String()
 }
 
-// fleet is a gateway before stand-ins.
+// fleet is a gateway daemon in this process, with stand-ins of the store and of the workers.
 type fleet struct {
 	store    *rows.Store
 	settings *gatewaysettings.Settings
 	daemon   *gatewayd.Daemon
-	out      *lines
+	out      *logBuffer
 	stop     context.CancelFunc
 	ended    chan error
 }
@@ -77,20 +77,20 @@
 	})
 }
 
-func (f *fleet) routes(version int, model string) {
+func (f *fleet) publishRoutes(version int, model string) {
 	f.store.Publish(version, model)
 }
 
 func newFleet(t testing.TB) *fleet {
 	t.Helper()
-	f := &fleet{store: rows.New(), out: &lines{}, ended: make(chan error, 1)}
+	f := &fleet{store: rows.New(), out: &logBuffer{}, ended: make(chan error, 1)}
 	server := httptest.NewServer(f.store)
 	t.Cleanup(server.Close)
-	f.routes(1, "model")
-	const free = "127.0.0.1:0"
+	f.publishRoutes(1, "model")
+	const anyPort = "127.0.0.1:0"
 	text := fmt.Sprintf(`{"instance":{"id":"g","zone":"z"},"addresses":{"listen":%q,"health":%q,"peer":%q,"metrics":%q},
 		"store":%q,"seeds":[],"grace":"8s","memoryMegabytes":100,"retries":{"ratio":0.2,"slack":50,"window":"10s"}}`,
-		free, free, free, free, strings.TrimPrefix(server.URL, "http://"))
+		anyPort, anyPort, anyPort, anyPort, strings.TrimPrefix(server.URL, "http://"))
 	var err error
 	f.settings, err = gatewaysettings.Parse("test", []byte(text))
 	qt.Assert(t, err, qt.IsNil)
@@ -100,19 +100,19 @@
 func (f *fleet) start(t testing.TB) {
 	t.Helper()
 	quiet := &log.Logger{Handler: discard.New(), Level: log.FatalLevel}
-	clock, exchange := carawayspread.SystemClock(), direct.New()
+	clock, transport := carawayspread.SystemClock(), direct.New()
 	var err error
 	storeTime := storetime.New(uptime.Clock{})
-	store := rowsclient.New(exchange, f.settings.Store(), rowsclient.WithClock(uptime.Clock{}, storeTime.Observe))
+	store := rowsclient.New(transport, f.settings.Store(), rowsclient.WithClock(uptime.Clock{}, storeTime.Observe))
 	f.daemon, err = gatewayd.New(f.settings, clock, quiet, f.out, gatewayd.Ports{
-		Exchange: exchange, Protocol: wire.Protocol{},
+		Exchange: transport, Protocol: wire.Protocol{},
 		Source: func(sink *gatewayd.Daemon) follower.Source {
 			return catalog.New(store, sink, quiet)
 		},
 		Table:  rowsclient.NewTable(store, "carawayspread"),
 		Uptime: uptime.Clock{}, StoreTime: storeTime,
 		Engine: func(endpoint carawayspread.Endpoint) carawayspread.Engine {
-			return orders.New(exchange, endpoint, f.settings.ID())
+			return orders.New(transport, endpoint, f.settings.ID())
 		},
 	})
 	qt.Assert(t, err, qt.IsNil)
@@ -125,20 +125,20 @@
 	})
 }
 
-func (f *fleet) ready(t *testing.T) {
+func (f *fleet) waitReady(t *testing.T) {
 	t.Helper()
-	until(t, f.daemon.Ready)
+	waitUntil(t, f.daemon.Ready)
 }
 
-func until(t *testing.T, ok func() bool) {
+func waitUntil(t *testing.T, ok func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		qt.Assert(t, time.Now().Before(deadline), qt.IsTrue, qt.Commentf("not within 10 s"))
 	}
 }
 
-// ask sends a request on a connection of its own.
-func (f *fleet) ask(method, path, id, body string, headers ...string) (*http.Response, string, error) {
+// send sends a request on a new connection.
+func (f *fleet) send(method, path, id, body string, headers ...string) (*http.Response, string, error) {
 	req, err := http.NewRequest(method, "http://"+f.daemon.Listen()+path, strings.NewReader(body))
 	if err != nil {
 		return nil, "", err
@@ -158,21 +158,21 @@
 	return resp, string(text), err
 }
 
-const prompt = "Carawayspread-Token-Count"
+const tokenCountHeader = "Carawayspread-Token-Count"
 
-// A caller sees its own whole answer, over both kinds of service: a prompt is
-// read by one engine and answered by the other, event by event.
+// Guards against a caller that gets a wrong or incomplete answer. A plain service is called, and
+// a prompt is prefilled by one engine and decoded by another, as a stream of events.
 func TestRequestIsServedThroughTheWholePath(t *testing.T) {
 	f := newFleet(t)
 	plain := startWorker(t, "w-plain")
-	reader, answerer := startWorker(t, "w-reader"), startWorker(t, "w-answerer")
+	prefillEngine, decodeEngine := startWorker(t, "w-reader"), startWorker(t, "w-answerer")
 	f.list(plain, "plain", "", "ready", 1)
-	f.list(reader, "model", "prefill", "ready", 1)
-	f.list(answerer, "model", "decode", "ready", 1)
+	f.list(prefillEngine, "model", "prefill", "ready", 1)
+	f.list(decodeEngine, "model", "decode", "ready", 1)
 	f.start(t)
-	f.ready(t)
+	f.waitReady(t)
 
-	resp, body, err := f.ask("POST", "/order/a%2Fb//c?x=1&y", "id-1", "text")
+	resp, body, err := f.send("POST", "/order/a%2Fb//c?x=1&y", "id-1", "text")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, resp.StatusCode, qt.Equals, 200)
 	qt.Check(t, body, qt.Equals, "w-plain answers id-1")
@@ -184,92 +184,91 @@
 	qt.Check(t, seen[0].Header.Get("User-Agent"), qt.Equals, "Go-http-client/1.1", qt.Commentf("the caller's own"))
 	qt.Check(t, seen[0].Header.Get("Accept-Encoding"), qt.Equals, "")
 
-	resp, body, err = f.ask("POST", "/stream/x", "id-2", "p", prompt, "9000,100",
+	resp, body, err = f.send("POST", "/stream/x", "id-2", "p", tokenCountHeader, "9000,100",
 		"Carawayspread-Prefix-Hash", "aa:8000,bb:1000", "Carawayspread-Kv-Source", "forged")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, resp.StatusCode, qt.Equals, 200)
 	qt.Check(t, resp.Header.Get("Carawayspread-Server-Seal"), qt.Equals, "w-answerer.id-2")
 	qt.Check(t, strings.Count(body, "data: part"), qt.Equals, worker.Events)
-	qt.Check(t, reader.Ran(), qt.Equals, 0)
-	qt.Check(t, answerer.Ran(), qt.Equals, 1)
-	qt.Check(t, answerer.Seen()[0].Header.Get("Carawayspread-Kv-Source"), qt.Equals, reader.Address()+"/h-id-2")
-	until(t, func() bool { return strings.Contains(f.out.String(), "id=id-2 ") })
+	qt.Check(t, prefillEngine.Ran(), qt.Equals, 0)
+	qt.Check(t, decodeEngine.Ran(), qt.Equals, 1)
+	qt.Check(t, decodeEngine.Seen()[0].Header.Get("Carawayspread-Kv-Source"), qt.Equals, prefillEngine.Address()+"/h-id-2")
+	waitUntil(t, func() bool { return strings.Contains(f.out.String(), "id=id-2 ") })
 }
 
-// A caller that meets a process which knows no routes is told to come back;
-// none of its requests is called unknown. The platform's store is down when
-// the process starts; it serves as soon as the store does.
-func TestNoRoutesYetIsNoRefusalForGood(t *testing.T) {
+// Guards against a request that is refused as unknown by a process that has no routes yet. The
+// platform's store is down when the process starts: requests are refused with a Retry-After, and
+// are served as soon as the store is up.
+func TestRequestsBeforeTheFirstRoutesMayBeRetried(t *testing.T) {
 	f := newFleet(t)
 	f.list(startWorker(t, "w"), "plain", "", "ready", 1)
 	f.store.Answer(http.StatusServiceUnavailable)
 	f.start(t)
 	var resp *http.Response
-	until(t, func() bool {
+	waitUntil(t, func() bool {
 		var err error
-		resp, _, err = f.ask("GET", "/lookup/x", "id-1", "")
+		resp, _, err = f.send("GET", "/lookup/x", "id-1", "")
 		return err == nil
 	})
 	qt.Check(t, resp.StatusCode, qt.Equals, 503)
 	qt.Check(t, resp.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
 	qt.Check(t, f.daemon.Ready(), qt.IsFalse)
 	f.store.Answer(0)
-	f.ready(t)
-	resp, _, err := f.ask("GET", "/lookup/x", "id-2", "")
+	f.waitReady(t)
+	resp, _, err := f.send("GET", "/lookup/x", "id-2", "")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, resp.StatusCode, qt.Equals, 200)
 }
 
-// Callers get what the newest accepted routes say, and never again what an
-// older set said. The store drops its history while a change is made; the
-// process reads everything anew and passes over an older version.
-func TestRoutesNeverGoBack(t *testing.T) {
+// Guards against requests that are routed by an older version of the routes than one adopted
+// before. The store drops its history while a change is made; the process reads everything again
+// and ignores an older version.
+func TestRoutesNeverRevert(t *testing.T) {
 	f := newFleet(t)
 	f.list(startWorker(t, "w"), "plain", "", "ready", 1)
 	f.start(t)
-	f.ready(t)
+	f.waitReady(t)
 	f.store.Compact()
-	f.routes(5, "model")
-	until(t, func() bool { return strings.Contains(f.out.String(), "version=5") })
-	f.routes(4, "model")
-	f.routes(6, "model")
-	until(t, func() bool { return strings.Contains(f.out.String(), "version=6") })
+	f.publishRoutes(5, "model")
+	waitUntil(t, func() bool { return strings.Contains(f.out.String(), "version=5") })
+	f.publishRoutes(4, "model")
+	f.publishRoutes(6, "model")
+	waitUntil(t, func() bool { return strings.Contains(f.out.String(), "version=6") })
 	qt.Check(t, f.out.String(), qt.Not(qt.Contains), "version=4")
 }
 
-// No request reaches a worker that has said that it leaves, and an entry that
-// names no worker harms nobody. An older entry of the leaving worker turns up
-// again; it does not bring the worker back.
-func TestLeavingWorkerGetsNothing(t *testing.T) {
+// Guards against a request that is sent to a worker which has reported that it drains. An older
+// row of the worker shows up again and must not make it available. Rows that cannot be parsed are
+// skipped.
+func TestDrainingWorkerGetsNoRequests(t *testing.T) {
 	f := newFleet(t)
-	stays, leaves := startWorker(t, "w-stays"), startWorker(t, "w-leaves")
-	f.list(leaves, "plain", "", "ready", 7)
+	staying, draining := startWorker(t, "w-stays"), startWorker(t, "w-leaves")
+	f.list(draining, "plain", "", "ready", 7)
 	f.store.Put("servers", "broken", []byte(`{"service":"plain","address":"nowhere","seq":1}`))
 	f.store.Put("servers", "torn", []byte(`{"service":"pl`))
 	f.start(t)
-	f.ready(t)
-	_, _, err := f.ask("POST", "/order/x", "first", "") // it is known to be fast
+	f.waitReady(t)
+	_, _, err := f.send("POST", "/order/x", "first", "") // the gateway learns that the worker is fast
 	qt.Assert(t, err, qt.IsNil)
-	f.list(stays, "plain", "", "ready", 1)
-	f.list(leaves, "plain", "", "draining", 8)
+	f.list(staying, "plain", "", "ready", 1)
+	f.list(draining, "plain", "", "draining", 8)
 	time.Sleep(1200 * time.Millisecond) // two reads of the list
-	f.list(leaves, "plain", "", "ready", 7)
+	f.list(draining, "plain", "", "ready", 7)
 	time.Sleep(1200 * time.Millisecond)
-	before := len(leaves.Seen())
+	before := len(draining.Seen())
 	for i := range 20 {
-		resp, _, err := f.ask("POST", "/order/x", fmt.Sprint("id-", i), fmt.Sprint("body ", i))
+		resp, _, err := f.send("POST", "/order/x", fmt.Sprint("id-", i), fmt.Sprint("body ", i))
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, resp.StatusCode, qt.Equals, 200)
 	}
-	qt.Check(t, len(leaves.Seen()), qt.Equals, before)
-	qt.Check(t, stays.Ran(), qt.Equals, 20)
+	qt.Check(t, len(draining.Seen()), qt.Equals, before)
+	qt.Check(t, staying.Ran(), qt.Equals, 20)
 }
 
-// A caller whose request is running when its process is told to end gets the
-// whole answer, and no caller's request is taken late and then given up.
-// Requests keep coming after the order to end, some of which may take longer
-// than is left: those are told to come back, the others are served.
-func TestLeavingProcessTakesNothingItCannotAnswer(t *testing.T) {
+// Guards against a request that is accepted during shutdown and not answered in full. Requests
+// keep arriving after the signal to end, and some may take longer than the remaining time: those
+// are refused with a Retry-After, the others are served, and running ones are finished.
+func TestDrainingGatewayRefusesWhatItCannotAnswer(t *testing.T) {
 	f := newFleet(t)
 	slow := make([]worker.Behaviour, 4000)
 	for i := range slow {
@@ -278,36 +277,36 @@
 	f.list(startWorker(t, "w", slow...), "model", "decode", "ready", 1)
 	f.list(startWorker(t, "w-holds", worker.Hang), "plain", "", "ready", 1)
 	f.start(t)
-	f.ready(t)
+	f.waitReady(t)
 	f.stop()
-	until(t, func() bool { return !f.daemon.Ready() })
+	waitUntil(t, func() bool { return !f.daemon.Ready() })
 	begun := time.Now()
 	var callers sync.WaitGroup
-	callers.Go(func() { // keeps the process from ending at once: it has two seconds from here
+	callers.Go(func() { // keeps the process from ending at once: the request has two seconds
 		time.Sleep(2700 * time.Millisecond)
-		resp, _, err := f.ask("POST", "/order/x", "id-held", "")
+		resp, _, err := f.send("POST", "/order/x", "id-held", "")
 		qt.Check(t, err, qt.IsNil)
 		qt.Check(t, resp.StatusCode, qt.Equals, 504)
 	})
-	var cut, short, long, comeBack atomic.Int64
+	var cut, short, long, retryLater atomic.Int64
 	for n := range 4 {
 		counts := []string{"10,10", "10,1000"}[n%2]
 		callers.Go(func() {
 			for i := 0; time.Since(begun) < 7500*time.Millisecond; i++ {
-				asked := time.Since(begun)
-				resp, body, err := f.ask("POST", "/stream/x", fmt.Sprint("id-", n, "-", i), "", prompt, counts)
+				sentAt := time.Since(begun)
+				resp, body, err := f.send("POST", "/stream/x", fmt.Sprint("id-", n, "-", i), "", tokenCountHeader, counts)
 				switch {
 				case neverConnected(err):
 					time.Sleep(10 * time.Millisecond)
 				case err != nil || resp.StatusCode == 200 && strings.Count(body, "data:") != worker.Events:
 					cut.Add(1)
-					t.Logf("asked after %v, ended after %v: %v, %q", asked, time.Since(begun), err, body)
+					t.Logf("sent after %v, ended after %v: %v, %q", sentAt, time.Since(begun), err, body)
 				case resp.StatusCode == 503 && resp.Header.Get("Retry-After") != "":
-					comeBack.Add(1)
+					retryLater.Add(1)
 					time.Sleep(10 * time.Millisecond)
-				case asked > 3500*time.Millisecond && n%2 == 0:
+				case sentAt > 3500*time.Millisecond && n%2 == 0:
 					short.Add(1)
-				case asked > 3500*time.Millisecond:
+				case sentAt > 3500*time.Millisecond:
 					long.Add(1)
 				}
 			}
@@ -315,36 +314,36 @@
 	}
 	callers.Wait()
 	qt.Check(t, cut.Load(), qt.Equals, int64(0))
-	qt.Check(t, short.Load() > 0, qt.IsTrue, qt.Commentf("what can be answered in time is"))
-	qt.Check(t, long.Load(), qt.Equals, int64(0), qt.Commentf("what may take longer than is left is refused"))
-	qt.Check(t, comeBack.Load() > 0, qt.IsTrue)
+	qt.Check(t, short.Load() > 0, qt.IsTrue, qt.Commentf("requests that can be answered in time are served"))
+	qt.Check(t, long.Load(), qt.Equals, int64(0), qt.Commentf("requests that may take longer than the remaining time are refused"))
+	qt.Check(t, retryLater.Load() > 0, qt.IsTrue)
 	qt.Check(t, <-f.ended, qt.IsNil)
 	f.ended <- nil
 }
 
-// neverConnected reports whether a caller knows that its request was not sent.
-// A port that closes in the middle of a handshake resets it, one closed before refuses.
+// neverConnected reports whether a caller knows that its request was not sent. A port that closes
+// during a handshake resets the connection, one that is closed already refuses it.
 func neverConnected(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial" &&
 		(errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET))
 }
 
-// A caller that keeps its connection gets its answer when the process is told to
-// end just before its next request. The connection is idle at that moment; were it
-// closed then, the request could have been read and passed on already, and its
-// caller would learn neither its answer nor that it has not run. The answer asks
-// the caller to open the next connection elsewhere.
-func TestLeavingProcessAnswersOnConnectionsThatWereIdle(t *testing.T) {
+// Guards against a kept connection that is closed without an answer, as the process is told to end
+// just before the caller's next request. The connection is idle at that moment. If it were closed
+// then, the request could have been read and forwarded already, and the caller would learn neither
+// its answer nor that it has not run. The answer closes the connection, so that the caller opens its
+// next one elsewhere.
+func TestDrainingGatewayAnswersOnIdleConnections(t *testing.T) {
 	f := newFleet(t)
 	f.list(startWorker(t, "w"), "plain", "", "ready", 1)
 	f.start(t)
-	f.ready(t)
+	f.waitReady(t)
 	conn, err := net.Dial("tcp", f.daemon.Listen())
 	qt.Assert(t, err, qt.IsNil)
 	defer func() { _ = conn.Close() }()
 	answers := bufio.NewReader(conn)
-	ask := func(id string) (*http.Response, error) {
+	send := func(id string) (*http.Response, error) {
 		_, err := fmt.Fprintf(conn, "GET /lookup/x HTTP/1.1\r\nHost: a.example\r\nCarawayspread-Request-Id: %s\r\n\r\n", id)
 		if err != nil {
 			return nil, err
@@ -355,45 +354,44 @@
 		}
 		return resp, err
 	}
-	first, err := ask("id-1")
+	first, err := send("id-1")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, first.Close, qt.IsFalse)
 	f.stop()
-	until(t, func() bool { return !f.daemon.Ready() })
-	time.Sleep(100 * time.Millisecond) // whatever the order to end closes is closed by now
-	second, err := ask("id-2")
+	waitUntil(t, func() bool { return !f.daemon.Ready() })
+	time.Sleep(100 * time.Millisecond) // time for the shutdown to close connections, if it does
+	second, err := send("id-2")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, second.StatusCode, qt.Equals, 200)
 	qt.Check(t, second.Close, qt.IsTrue)
 }
 
-// Callers are served although an endpoint holds what it is sent and says
-// nothing: a prompt that is to be read, and a request that may be repeated, go
-// elsewhere after a while.
-func TestEndpointThatHoldsRequests(t *testing.T) {
+// Guards against callers that wait for an endpoint which accepts requests and never answers. A
+// prefill and a request that may be retried are sent to another endpoint after a while.
+func TestStalledEndpointDelaysNoCaller(t *testing.T) {
 	f := newFleet(t)
-	reader, answerer := startWorker(t, "w-reader", worker.Hang), startWorker(t, "w-answerer")
-	holds := startWorker(t, "w-holds", worker.Answer, worker.Hang, worker.Hang, worker.Hang, worker.Hang, worker.Hang, worker.Hang)
-	f.list(reader, "model", "prefill", "ready", 1)
-	f.list(answerer, "model", "decode", "ready", 1)
-	f.list(holds, "plain", "", "ready", 1)
+	prefillEngine, decodeEngine := startWorker(t, "w-reader", worker.Hang), startWorker(t, "w-answerer")
+	stalled := startWorker(t, "w-holds", worker.Answer, worker.Hang, worker.Hang, worker.Hang, worker.Hang, worker.Hang, worker.Hang)
+	f.list(prefillEngine, "model", "prefill", "ready", 1)
+	f.list(decodeEngine, "model", "decode", "ready", 1)
+	f.list(stalled, "plain", "", "ready", 1)
 	f.start(t)
-	f.ready(t)
-	_, _, err := f.ask("GET", "/lookup/first", "id-0", "") // it is known to be fast
+	f.waitReady(t)
+	_, _, err := f.send("GET", "/lookup/first", "id-0", "") // the gateway learns that the worker is fast
 	qt.Assert(t, err, qt.IsNil)
 	f.list(startWorker(t, "w-plain"), "plain", "", "ready", 1)
 	time.Sleep(1200 * time.Millisecond) // two reads of the list
 	begun := time.Now()
-	resp, body, err := f.ask("POST", "/stream/x", "id-1", "p", prompt, "9000,100")
+	resp, body, err := f.send("POST", "/stream/x", "id-1", "p", tokenCountHeader, "9000,100")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, resp.StatusCode, qt.Equals, 200)
 	qt.Check(t, strings.Count(body, "data: part"), qt.Equals, worker.Events)
 	qt.Check(t, time.Since(begun) < 2*time.Second, qt.IsTrue)
-	until(t, func() bool { return reader.Gone() == 1 })
+	waitUntil(t, func() bool { return prefillEngine.Gone() == 1 })
 	for i := range 12 {
-		resp, _, err := f.ask("GET", fmt.Sprint("/lookup/", i), fmt.Sprint("id-", i), "")
+		resp, _, err := f.send("GET", fmt.Sprint("/lookup/", i), fmt.Sprint("id-", i), "")
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, resp.StatusCode, qt.Equals, 200)
 	}
-	qt.Check(t, holds.Ran() > 1, qt.IsTrue)
+	qt.Check(t, stalled.Ran() > 1, qt.IsTrue)
 }
--- a/cmd/gateway/grace_test.go
+++ b/cmd/gateway/grace_test.go
@@ -12,8 +12,8 @@
 	"carawayspread/internal/version/gatewaysettings"
 )
 
-// Guards against a caller whose connection is closed without an answer, as its endpoint
-// holds the request and the grace of the process that ends is over before its time limit.
+// Guards against a caller whose connection is closed without an answer: its endpoint stalls, and
+// the grace of the process that ends is over before the time limit of the request.
 func TestRequestThatOutlastsTheGraceIsAnswered(t *testing.T) {
 	f := newFleet(t)
 	text := fmt.Sprintf(`{"instance":{"id":"g","zone":"z"},"addresses":{"listen":%q,"health":%q,"peer":%q,"metrics":%q},
@@ -29,21 +29,21 @@
 	w := startWorker(t, "w", script...)
 	f.list(w, "model", "decode", "ready", 1)
 	f.start(t)
-	f.ready(t)
+	f.waitReady(t)
 	type answer struct {
 		status int
 		err    error
 	}
 	answered := make(chan answer, 1)
 	go func() {
-		resp, _, err := f.ask("POST", "/stream/x", "id-1", "text", prompt, "900,10")
+		resp, _, err := f.send("POST", "/stream/x", "id-1", "text", tokenCountHeader, "900,10")
 		if err != nil {
 			answered <- answer{err: err}
 			return
 		}
 		answered <- answer{status: resp.StatusCode}
 	}()
-	until(t, func() bool { return len(w.Seen()) > 0 })
+	waitUntil(t, func() bool { return len(w.Seen()) > 0 })
 	time.Sleep(100 * time.Millisecond)
 	f.stop()
 	got := <-answered
--- a/cmd/gateway/keys_test.go
+++ b/cmd/gateway/keys_test.go
@@ -13,83 +13,83 @@
 )
 
 const (
-	bearer  = "Authorization"
-	tenant  = "Carawayspread-Tenant"
-	revoked = 2 * time.Second
+	authorizationHeader = "Authorization"
+	tenantHeader        = "Carawayspread-Tenant"
+	revocationBound     = 2 * time.Second
 )
 
-// keyed returns a fleet whose callers need keys, with a plain endpoint and two engines.
-func keyed(t *testing.T, keys map[string][]string) *fleet {
+// newFleetWithKeys returns a fleet whose callers need one of the keys, by workspace.
+func newFleetWithKeys(t *testing.T, keys map[string][]string) *fleet {
 	f := newFleet(t)
 	text := fmt.Sprintf(`{"instance":{"id":"g","zone":"z"},"addresses":{"listen":%[1]q,"health":%[1]q,"peer":%[1]q,"metrics":%[1]q},
 		"store":%[2]q,"seeds":[],"grace":"8s","memoryMegabytes":100,"retries":{"ratio":0.2,"slack":50,"window":"10s"},
-		"promises":{"leaving":"2s","inForce":"1s","revoked":%[3]q}}`, "127.0.0.1:0", f.settings.Store(), revoked)
+		"promises":{"leaving":"2s","inForce":"1s","revoked":%[3]q}}`, "127.0.0.1:0", f.settings.Store(), revocationBound)
 	var err error
 	f.settings, err = gatewaysettings.Parse("test", []byte(text))
 	qt.Assert(t, err, qt.IsNil)
-	f.keys(t, 2, keys)
+	f.publishKeys(t, 2, keys)
 	return f
 }
 
-func (f *fleet) keys(t *testing.T, version int, keys map[string][]string) {
+func (f *fleet) publishKeys(t *testing.T, version int, keys map[string][]string) {
 	t.Helper()
 	qt.Assert(t, f.store.PublishKeys(version, "model", keys), qt.IsNil)
 }
 
-// status sends a request with that key and returns the status of the answer.
-func (f *fleet) status(t *testing.T, id, key string) int {
+// sendWithKey sends a request with that key and returns the status of the answer.
+func (f *fleet) sendWithKey(t *testing.T, id, key string) int {
 	t.Helper()
-	resp, _, err := f.ask("POST", "/order/x", id, id, bearer, "Bearer "+key)
+	resp, _, err := f.send("POST", "/order/x", id, id, authorizationHeader, "Bearer "+key)
 	qt.Assert(t, err, qt.IsNil)
 	return resp.StatusCode
 }
 
-// Guards against keys that reach endpoints, and requests that run for a workspace which
+// Guards against keys that are forwarded to endpoints, and requests that run for a workspace which
 // the caller named itself.
 func TestEndpointsSeeTheWorkspaceAndNeverTheKey(t *testing.T) {
-	f := keyed(t, map[string][]string{"w1": {"k1"}})
-	plain, reader, answerer := startWorker(t, "w-plain"), startWorker(t, "w-reader"), startWorker(t, "w-answerer")
+	f := newFleetWithKeys(t, map[string][]string{"w1": {"k1"}})
+	plain, prefillEngine, decodeEngine := startWorker(t, "w-plain"), startWorker(t, "w-reader"), startWorker(t, "w-answerer")
 	f.list(plain, "plain", "", "ready", 1)
-	f.list(reader, "model", "prefill", "ready", 1)
-	f.list(answerer, "model", "decode", "ready", 1)
+	f.list(prefillEngine, "model", "prefill", "ready", 1)
+	f.list(decodeEngine, "model", "decode", "ready", 1)
 	f.start(t)
-	f.ready(t)
+	f.waitReady(t)
 	for path, id := range map[string]string{"/order/x": "id-1", "/lookup/x": "id-2", "/stream/x": "id-3"} {
-		resp, _, err := f.ask("POST", path, id, "p", bearer, "bearer  k1", tenant, "w2", prompt, "9000,100",
+		resp, _, err := f.send("POST", path, id, "p", authorizationHeader, "bearer  k1", tenantHeader, "w2", tokenCountHeader, "9000,100",
 			"Carawayspread-Prefix-Hash", "aa:8000,bb:1000")
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, resp.StatusCode, qt.Equals, 200)
 	}
 	arrived := 0
-	for _, w := range []*worker.Worker{plain, reader, answerer} {
+	for _, w := range []*worker.Worker{plain, prefillEngine, decodeEngine} {
 		for _, s := range w.Seen() {
 			arrived++
-			qt.Check(t, s.Header.Values(tenant), qt.DeepEquals, []string{"w1"})
-			qt.Check(t, s.Header.Values(bearer), qt.HasLen, 0)
+			qt.Check(t, s.Header.Values(tenantHeader), qt.DeepEquals, []string{"w1"})
+			qt.Check(t, s.Header.Values(authorizationHeader), qt.HasLen, 0)
 		}
 	}
 	qt.Check(t, arrived, qt.Equals, 4)
 	qt.Check(t, strings.Contains(f.out.String(), "k1"), qt.IsFalse)
-	until(t, func() bool { return strings.Contains(f.out.String(), "workspace=w1") })
+	waitUntil(t, func() bool { return strings.Contains(f.out.String(), "workspace=w1") })
 }
 
-// Guards against requests that run without a key that holds.
+// Guards against requests that run without a valid key.
 func TestRequestsWithoutAKeyDoNotRun(t *testing.T) {
-	f := keyed(t, map[string][]string{"w1": {"k1"}, "w2": {"k2", "both"}, "w3": {"both"}, "w4": {}})
+	f := newFleetWithKeys(t, map[string][]string{"w1": {"k1"}, "w2": {"k2", "both"}, "w3": {"both"}, "w4": {}})
 	w := startWorker(t, "w")
 	f.list(w, "plain", "", "ready", 1)
 	f.start(t)
-	f.ready(t)
+	f.waitReady(t)
 	for name, headers := range map[string][]string{
-		"none":        nil,
-		"empty":       {bearer, ""},
-		"other":       {bearer, "Basic azE6"},
-		"unknown":     {bearer, "Bearer nobody"},
-		"held by two": {bearer, "Bearer both"},
+		"none":                  nil,
+		"empty":                 {authorizationHeader, ""},
+		"other":                 {authorizationHeader, "Basic azE6"},
+		"unknown":               {authorizationHeader, "Bearer nobody"},
+		"key of two workspaces": {authorizationHeader, "Bearer both"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			time.Sleep(1100 * time.Millisecond) // the store may be asked again
-			resp, body, err := f.ask("POST", "/order/x", "id", "", headers...)
+			time.Sleep(1100 * time.Millisecond) // the gateway may read the store again
+			resp, body, err := f.send("POST", "/order/x", "id", "", headers...)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, resp.StatusCode, qt.Equals, 401)
 			qt.Check(t, resp.Header.Get("WWW-Authenticate"), qt.Equals, "Bearer")
@@ -99,44 +99,44 @@
 	qt.Check(t, w.Seen(), qt.HasLen, 0)
 }
 
-// Guards against a caller that is turned away for good with a key that was added a
-// moment before: the store is asked first. Guesses do not drive its calls.
+// Guards against a final refusal of a key that was added a moment before: the store is read first.
+// Guessed keys must not cause calls to the store without bound.
 func TestAddedKeyWorksAtOnce(t *testing.T) {
-	f := keyed(t, map[string][]string{"w1": {"k1"}})
+	f := newFleetWithKeys(t, map[string][]string{"w1": {"k1"}})
 	f.list(startWorker(t, "w"), "plain", "", "ready", 1)
 	f.start(t)
-	f.ready(t)
-	f.store.Hush(true) // whoever waits for changes hears of none
-	f.keys(t, 3, map[string][]string{"w1": {"k1", "k2"}})
-	qt.Check(t, f.status(t, "id-1", "k2"), qt.Equals, 200)
-	f.keys(t, 4, map[string][]string{"w1": {"k1", "k2", "k3"}})
+	f.waitReady(t)
+	f.store.Hush(true) // calls that wait for changes return none
+	f.publishKeys(t, 3, map[string][]string{"w1": {"k1", "k2"}})
+	qt.Check(t, f.sendWithKey(t, "id-1", "k2"), qt.Equals, 200)
+	f.publishKeys(t, 4, map[string][]string{"w1": {"k1", "k2", "k3"}})
 	before := f.store.Calls()
 	for i := range 20 {
-		qt.Check(t, f.status(t, fmt.Sprint("guess-", i), "guess"), qt.Equals, 503)
+		qt.Check(t, f.sendWithKey(t, fmt.Sprint("guess-", i), "guess"), qt.Equals, 503)
 	}
 	qt.Check(t, f.store.Calls()-before <= 2, qt.IsTrue)
-	qt.Check(t, f.status(t, "id-2", "k3"), qt.Equals, 503, qt.Commentf("asked a moment before"))
+	qt.Check(t, f.sendWithKey(t, "id-2", "k3"), qt.Equals, 503, qt.Commentf("the store was read a moment before"))
 	time.Sleep(1100 * time.Millisecond)
-	qt.Check(t, f.status(t, "id-3", "k3"), qt.Equals, 200)
+	qt.Check(t, f.sendWithKey(t, "id-3", "k3"), qt.Equals, 200)
 }
 
-// Guards against a revoked key that runs on where the store no longer answers, and
-// against refusing sooner than must be.
+// Guards against a revoked key that is accepted for longer than its bound while the store is down,
+// and against refusals before that bound.
 func TestRevokedKeyStopsWithoutTheStore(t *testing.T) {
-	f := keyed(t, map[string][]string{"w1": {"k1"}})
+	f := newFleetWithKeys(t, map[string][]string{"w1": {"k1"}})
 	w := startWorker(t, "w")
 	f.list(w, "plain", "", "ready", 1)
 	f.start(t)
-	f.ready(t)
+	f.waitReady(t)
 	f.store.Answer(503)
-	cut := time.Now()
-	for i := 0; time.Since(cut) < revoked/2; i++ {
-		qt.Check(t, f.status(t, fmt.Sprint("early-", i), "k1"), qt.Equals, 200)
+	outageStart := time.Now()
+	for i := 0; time.Since(outageStart) < revocationBound/2; i++ {
+		qt.Check(t, f.sendWithKey(t, fmt.Sprint("early-", i), "k1"), qt.Equals, 200)
 		time.Sleep(50 * time.Millisecond)
 	}
-	time.Sleep(time.Until(cut.Add(revoked)))
+	time.Sleep(time.Until(outageStart.Add(revocationBound)))
 	ran := w.Ran()
-	resp, body, err := f.ask("POST", "/order/x", "late", "", bearer, "Bearer k1")
+	resp, body, err := f.send("POST", "/order/x", "late", "", authorizationHeader, "Bearer k1")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, resp.StatusCode, qt.Equals, 503)
 	qt.Check(t, strings.Contains(body, `"notRun":true`), qt.IsTrue)
@@ -144,9 +144,9 @@
 	qt.Check(t, w.Ran(), qt.Equals, ran)
 	qt.Check(t, f.daemon.Ready(), qt.IsFalse)
 	f.store.Answer(0)
-	f.ready(t)
-	qt.Check(t, f.status(t, "back", "k1"), qt.Equals, 200)
-	f.keys(t, 3, map[string][]string{"w1": {}})
+	f.waitReady(t)
+	qt.Check(t, f.sendWithKey(t, "back", "k1"), qt.Equals, 200)
+	f.publishKeys(t, 3, map[string][]string{"w1": {}})
 	time.Sleep(time.Second)
-	qt.Check(t, f.status(t, "gone", "k1") >= 400, qt.IsTrue)
+	qt.Check(t, f.sendWithKey(t, "gone", "k1") >= 400, qt.IsTrue)
 }
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -1,5 +1,4 @@
-// Command gateway runs the daemon that takes callers' requests on the users'
-// platform.
+// Command gateway runs the daemon that accepts callers' requests on the users' platform.
 package main
 
 import (
@@ -29,9 +28,9 @@
 	"carawayspread/platform/wire"
 )
 
-// memoryUsed is the part of the granted memory from which the collector works
-// harder; the rest is for what it does not count.
-const memoryUsed = 0.7
+// memoryLimitRatio is the fraction of the granted memory that is set as the soft limit of the
+// garbage collector. The rest is for memory that the limit does not count.
+const memoryLimitRatio = 0.7
 
 func main() {
 	log.SetHandler(logfmt.New(os.Stdout))
@@ -62,16 +61,16 @@
 	if err != nil {
 		return err
 	}
-	debug.SetMemoryLimit(int64(memoryUsed * float64(s.Memory())))
-	clock, exchange := carawayspread.SystemClock(), direct.New()
+	debug.SetMemoryLimit(int64(memoryLimitRatio * float64(s.Memory())))
+	clock, transport := carawayspread.SystemClock(), direct.New()
 	storeTime := storetime.New(uptime.Clock{})
-	store := rows.New(exchange, s.Store(), rows.WithClock(uptime.Clock{}, storeTime.Observe), rows.WithLog(log.Log))
+	store := rows.New(transport, s.Store(), rows.WithClock(uptime.Clock{}, storeTime.Observe), rows.WithLog(log.Log))
 	var usage carawayspread.UsageSink
 	if u := s.Usage(); u != nil {
-		usage = cloud.New(exchange, u.Address(), s.ID())
+		usage = cloud.New(transport, u.Address(), s.ID())
 	}
 	d, err := gatewayd.New(s, clock, log.Log, os.Stdout, gatewayd.Ports{
-		Exchange: exchange,
+		Exchange: transport,
 		Protocol: wire.Protocol{},
 		Source: func(sink *gatewayd.Daemon) follower.Source {
 			return catalog.New(store, sink, log.Log)
@@ -79,7 +78,7 @@
 		Table:  rows.NewTable(store, "carawayspread"),
 		Uptime: uptime.Clock{}, StoreTime: storeTime, Usage: usage,
 		Engine: func(endpoint carawayspread.Endpoint) carawayspread.Engine {
-			return orders.New(exchange, endpoint, s.ID())
+			return orders.New(transport, endpoint, s.ID())
 		},
 	})
 	if err != nil {
@@ -87,14 +86,14 @@
 	}
 	stdlog.SetFlags(0)
 	stdlog.SetOutput(d.Library())
-	go reread(c.Context, c.String("config"), s)
+	go reportReloads(c.Context, c.String("config"), s)
 	return d.Run(c.Context)
 }
 
-// reread checks the settings anew on SIGHUP and says what it found. What
-// changes in them takes effect with the next start, as a running process keeps
+// reportReloads reads the settings file on each SIGHUP and logs whether it is valid and differs
+// from the running settings. Changes take effect at the next start, since a running process keeps
 // its addresses.
-func reread(ctx context.Context, name string, running *gatewaysettings.Settings) {
+func reportReloads(ctx context.Context, name string, running *gatewaysettings.Settings) {
 	changed := make(chan os.Signal, 1)
 	signal.Notify(changed, syscall.SIGHUP)
 	for {
--- a/cmd/gateway/reload_test.go
+++ b/cmd/gateway/reload_test.go
@@ -20,8 +20,8 @@
 	"carawayspread/internal/version/gatewaysettings"
 )
 
-// Operators see from outside which settings each process runs, and after a reload
-// whether the file holds others. A running process keeps those that it has.
+// Guards against an operator who cannot tell which settings a process runs, and after a SIGHUP
+// whether the file holds others. A running process keeps its settings.
 func TestReloadSaysWhichSettings(t *testing.T) {
 	const text = `{"instance":{"id":"g","zone":"z"},"addresses":{"listen":"127.0.0.1:1","health":"127.0.0.1:2","peer":"127.0.0.1:3","metrics":"127.0.0.1:4"},
 		"store":"127.0.0.1:5","seeds":[],"grace":"8s","memoryMegabytes":100,"retries":{"ratio":0.2,"slack":50,"window":"10s"}}`
@@ -38,18 +38,18 @@
 		return nil
 	}))
 	t.Cleanup(func() { log.SetHandler(discard.New()) })
-	own := make(chan os.Signal, 1)
-	signal.Notify(own, syscall.SIGHUP) // it ends nobody that does not take it yet
-	defer signal.Stop(own)
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP) // without a receiver the signal would end the test process
+	defer signal.Stop(hangups)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		reread(ctx, name, running)
+		reportReloads(ctx, name, running)
 	}()
-	// hup has the file read until a line says whether it holds other settings.
-	hup := func(changed bool) (fields log.Fields) {
-		until(t, func() bool {
+	// reloadUntil has the file read until a log line reports whether it holds other settings.
+	reloadUntil := func(changed bool) (fields log.Fields) {
+		waitUntil(t, func() bool {
 			qt.Assert(t, syscall.Kill(os.Getpid(), syscall.SIGHUP), qt.IsNil)
 			time.Sleep(10 * time.Millisecond)
 			mu.Lock()
@@ -61,10 +61,10 @@
 		})
 		return fields
 	}
-	same := hup(false)
+	same := reloadUntil(false)
 	other := strings.Replace(text, `"slack":50`, `"slack":60`, 1)
 	qt.Assert(t, os.WriteFile(name, []byte(other), 0o600), qt.IsNil)
-	changed := hup(true)
+	changed := reloadUntil(true)
 	stop()
 	<-ended
 	qt.Check(t, same["file"], qt.Equals, running.Digest())
@@ -72,12 +72,12 @@
 	qt.Check(t, changed["file"], qt.Not(qt.Equals), running.Digest())
 }
 
-// The metrics name the settings that a process runs and how fresh what it knows is.
+// Guards against metrics that lack the settings of a process, or the age of its routes and endpoints.
 func TestMetricsNameTheSettings(t *testing.T) {
 	f := newFleet(t)
 	f.list(startWorker(t, "w"), "plain", "", "ready", 1)
 	f.start(t)
-	f.ready(t)
+	f.waitReady(t)
 	resp, err := http.Get("http://" + f.daemon.Metrics() + "/metrics")
 	qt.Assert(t, err, qt.IsNil)
 	body, err := io.ReadAll(resp.Body)
--- a/cmd/gateway/restore_test.go
+++ b/cmd/gateway/restore_test.go
@@ -9,59 +9,59 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// busy writes rows that nobody follows, as other processes and workers do.
-func (f *fleet) busy(n int) {
+// putUnrelatedRows writes rows that no gateway follows, as other processes and workers do.
+func (f *fleet) putUnrelatedRows(n int) {
 	for i := range n {
 		f.store.Put("other", fmt.Sprint(i), []byte("{}"))
 	}
 }
 
-// The store comes back from an older copy, and its versions begin again at a lower one:
-// what is written then was passed over as old, and requests went on to a worker that had
-// said that it leaves.
+// Guards against requests to a worker that has reported that it drains. The store is restored from
+// an older copy, so its versions continue from a lower number, and a gateway that compares versions
+// alone ignores what is written then as old.
 func TestListIsFollowedAfterARestore(t *testing.T) {
 	f := newFleet(t)
 	first, second := startWorker(t, "w-first"), startWorker(t, "w-second")
 	f.list(first, "plain", "", "ready", 1)
-	older := f.store.Copy()
-	f.busy(200)
+	backup := f.store.Copy()
+	f.putUnrelatedRows(200)
 	f.start(t)
-	f.ready(t)
-	asked := 0
-	ask := func() int {
-		asked++
-		resp, _, err := f.ask("POST", "/order/x", fmt.Sprint("id-", asked), "text")
+	f.waitReady(t)
+	sent := 0
+	send := func() int {
+		sent++
+		resp, _, err := f.send("POST", "/order/x", fmt.Sprint("id-", sent), "text")
 		qt.Assert(t, err, qt.IsNil)
 		return resp.StatusCode
 	}
-	qt.Check(t, ask(), qt.Equals, 200)
+	qt.Check(t, send(), qt.Equals, 200)
 
-	f.store.Restore(older)
+	f.store.Restore(backup)
 	f.list(first, "plain", "", "draining", 2)
 	f.list(second, "plain", "", "ready", 1)
 	time.Sleep(2 * time.Second) // promises.leaving of the settings
 	before := len(first.Seen())
 	for range 10 {
-		qt.Check(t, ask(), qt.Equals, 200)
+		qt.Check(t, send(), qt.Equals, 200)
 	}
 	qt.Check(t, len(first.Seen())-before, qt.Equals, 0)
 	qt.Check(t, len(second.Seen()) >= 10, qt.IsTrue)
 }
 
-// Rows that were written after the copy was taken are missing until their writers have
-// written them again: a worker that lives was taken for gone.
-func TestWorkerIsNotGoneBeforeItIsWrittenAgain(t *testing.T) {
+// Guards against a running worker that is dropped after a restore of the store: rows written after
+// the copy was taken are missing until their writers write them again.
+func TestWorkerIsKeptUntilItsRowIsRewritten(t *testing.T) {
 	f := newFleet(t)
 	w := startWorker(t, "w-plain")
-	older := f.store.Copy() // without the worker
+	backup := f.store.Copy() // without the worker
 	f.list(w, "plain", "", "ready", 1)
-	f.busy(20)
+	f.putUnrelatedRows(20)
 	f.start(t)
-	f.ready(t)
-	f.store.Restore(older)
+	f.waitReady(t)
+	f.store.Restore(backup)
 	served := 0
 	for n := range 30 {
-		resp, _, err := f.ask("POST", "/order/x", fmt.Sprint("id-", n), "text")
+		resp, _, err := f.send("POST", "/order/x", fmt.Sprint("id-", n), "text")
 		qt.Assert(t, err, qt.IsNil)
 		if resp.StatusCode == http.StatusOK {
 			served++
--- a/cmd/gateway/roles_test.go
+++ b/cmd/gateway/roles_test.go
@@ -13,10 +13,10 @@
 	"carawayspread/internal/standin/worker"
 )
 
-// Callers of long prompts wait before the one engine that reads, while five that
-// answer have little to do: one of these is told to read, once, by one of two
-// processes. No request is lost or failed for it.
-func TestRolesFollowTheWork(t *testing.T) {
+// Guards against roles that do not follow the load, and against a second role order from the other
+// gateway. Long prompts queue at the only prefill engine while five decode engines are nearly idle:
+// one of the two gateways orders one of these to prefill, once, and no request fails.
+func TestRolesFollowTheLoad(t *testing.T) {
 	f := newFleet(t)
 	var workers []*worker.Worker
 	for i, stage := range []string{"prefill", "decode", "decode", "decode", "decode", "decode"} {
@@ -26,25 +26,25 @@
 		workers = append(workers, w)
 	}
 	f.start(t)
-	f.ready(t)
-	other := f.beside(t, f.settings.Store())
+	f.waitReady(t)
+	other := f.secondGateway(t, f.settings.Store())
 	other.start(t)
-	other.ready(t)
-	changed := func() (n int64) {
+	other.waitReady(t)
+	acceptedOrders := func() (n int64) {
 		for _, w := range workers {
 			_, accepted := w.Orders()
 			n += accepted
 		}
 		return n
 	}
-	var enough atomic.Bool
+	var done atomic.Bool
 	var callers sync.WaitGroup
 	for n, gateway := range []*fleet{f, other} {
 		for caller := range 3 {
 			callers.Go(func() {
-				for i := 0; !enough.Load(); i++ {
+				for i := 0; !done.Load(); i++ {
 					id := fmt.Sprint("id-", n, "-", caller, "-", i)
-					resp, body, err := gateway.ask("POST", "/stream/x", id, id, prompt, "9000,20")
+					resp, body, err := gateway.send("POST", "/stream/x", id, id, tokenCountHeader, "9000,20")
 					qt.Check(t, err, qt.IsNil)
 					if err == nil && resp.StatusCode == 200 {
 						qt.Check(t, strings.Count(body, "data: part"), qt.Equals, worker.Events)
@@ -57,15 +57,15 @@
 		}
 	}
 	begun := time.Now()
-	for changed() == 0 && time.Since(begun) < 30*time.Second {
+	for acceptedOrders() == 0 && time.Since(begun) < 30*time.Second {
 		time.Sleep(50 * time.Millisecond)
 	}
-	time.Sleep(3 * time.Second) // the other process sees the same work
-	enough.Store(true)
+	time.Sleep(3 * time.Second) // the other gateway observes the same load
+	done.Store(true)
 	callers.Wait()
-	qt.Check(t, changed(), qt.Equals, int64(1))
+	qt.Check(t, acceptedOrders(), qt.Equals, int64(1))
 	lines := f.out.String() + other.out.String()
 	qt.Check(t, strings.Count(lines, "event=role "), qt.Equals, 1)
-	// The stand-in's era before the first epoch.
+	// The fencing token combines the era of the stand-in, 1, and the first epoch: 1*1024 + 1.
 	qt.Check(t, lines, qt.Contains, "from=decode to=prefill fence=1025 outcome=ordered")
 }
