--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,5 +1,5 @@
-// Command soak runs gateways as processes, injects faults drawn from a seed, and
-// says which promises were broken.
+// Command soak runs gateways as processes, injects faults chosen at random from a seed, and reports
+// which guarantees were violated.
 package main
 
 import (
@@ -49,7 +49,7 @@
 		draw = schedule.DrawStops
 	}
 	for n := range uint64(max(1, c.Int("runs"))) {
-		found, err := soak(c.Context, c.App.Writer, c.String("gateway"), c.String("findings"), draw(c.Uint64("seed")+n, c.Duration("length")), c.Int("size"))
+		found, err := runSchedule(c.Context, c.App.Writer, c.String("gateway"), c.String("findings"), draw(c.Uint64("seed")+n, c.Duration("length")), c.Int("size"))
 		if err != nil {
 			return err
 		}
@@ -63,9 +63,9 @@
 	return nil
 }
 
-// soak plays one schedule and returns the broken promises. Their run's logs,
-// schedule and sentences stay in a folder of the seed.
-func soak(ctx context.Context, out io.Writer, binary, findings string, s *schedule.Schedule, size int) ([]string, error) {
+// runSchedule runs one schedule of faults and returns the violated guarantees. If there are any, the
+// logs of the run, the schedule and the findings are kept in a folder named after the seed.
+func runSchedule(ctx context.Context, out io.Writer, binary, findings string, s *schedule.Schedule, size int) ([]string, error) {
 	dir := filepath.Join(findings, fmt.Sprint(s.Seed()))
 	if err := os.RemoveAll(dir); err != nil {
 		return nil, trace.ConvertSystemError(err)
--- a/cmd/soak/soak_test.go
+++ b/cmd/soak/soak_test.go
@@ -12,40 +12,40 @@
 	"carawayspread/internal/soak/schedule"
 )
 
-// Callers ask gateways that are processes of their own, while these are killed,
-// paused and replaced, workers misbehave and leave, and the ways between fail, in
-// series that overlap. Whatever comes together, no promise is broken.
+// Guards against guarantees that are violated under combinations of faults. Gateways run as separate
+// processes and are killed, paused and replaced while they serve callers, workers misbehave and
+// drain, and the network between them fails, in overlapping series.
 func TestShortSoak(t *testing.T) {
 	const size, length = 3, 7 * time.Second
 	dir := t.TempDir()
-	binary := gateway(t, dir)
+	binary := buildGateway(t, dir)
 	for name, seed := range map[string]uint64{
 		"nearly all of the common kinds": 6020,
 		"all of the rare kinds":          6028,
 	} {
 		t.Run(name, func(t *testing.T) {
-			var said strings.Builder
-			found, err := soak(t.Context(), &said, binary, dir, schedule.Draw(seed, length), size)
+			var output strings.Builder
+			found, err := runSchedule(t.Context(), &output, binary, dir, schedule.Draw(seed, length), size)
 			qt.Assert(t, err, qt.IsNil)
-			qt.Check(t, found, qt.HasLen, 0, qt.Commentf("%s", said.String()))
-			t.Log(said.String())
+			qt.Check(t, found, qt.HasLen, 0, qt.Commentf("%s", output.String()))
+			t.Log(output.String())
 		})
 	}
 }
 
-// Guards against a caller that gets EOF, as its process is told to end and its endpoint
-// holds the request beyond the grace.
+// Guards against a caller that gets EOF, because its gateway is told to end and its endpoint stalls
+// the request for longer than the grace.
 func TestShortSoakOfStops(t *testing.T) {
 	const size, length, seed = 3, 14 * time.Second, 5010
 	dir := t.TempDir()
-	var said strings.Builder
-	found, err := soak(t.Context(), &said, gateway(t, dir), dir, schedule.DrawStops(seed, length), size)
+	var output strings.Builder
+	found, err := runSchedule(t.Context(), &output, buildGateway(t, dir), dir, schedule.DrawStops(seed, length), size)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, found, qt.HasLen, 0, qt.Commentf("%s", said.String()))
+	qt.Check(t, found, qt.HasLen, 0, qt.Commentf("%s", output.String()))
 }
 
-// gateway builds the program that is played.
-func gateway(t *testing.T, dir string) string {
+// buildGateway builds the gateway under test and returns its path.
+func buildGateway(t *testing.T, dir string) string {
 	t.Helper()
 	binary := filepath.Join(dir, "gateway")
 	out, err := exec.Command("go", "build", "-o", binary, "../gateway").CombinedOutput()
--- a/cmd/standin/endpoints.go
+++ b/cmd/standin/endpoints.go
@@ -10,7 +10,7 @@
 	"carawayspread/internal/standin/plain"
 )
 
-var _ = peers.Register("engine", peer{
+var _ = standins.Register("engine", standin{
 	usage: "a model engine: the OpenAI protocol and the order API",
 	flags: []cli.Flag{
 		&cli.StringSliceFlag{Name: "model", Usage: "`NAME` of a resident model, repeated for more"},
@@ -41,7 +41,7 @@
 	return engine.New(opts...), nil
 }
 
-var _ = peers.Register("plain", peer{
+var _ = standins.Register("plain", standin{
 	usage: "a plain service: GET /records/ID, POST and GET /receipts",
 	flags: []cli.Flag{
 		&cli.DurationFlag{Name: "delay", Usage: "take `DURATION` for each request"},
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin serves stand-ins of the platform and of the endpoints, for
-// tests and local runs only.
+// Command standin serves stand-ins of the platform and of the endpoints, for tests and local runs
+// only.
 package main
 
 import (
@@ -25,8 +25,8 @@
 			"Those of the platform take faults at POST /faults, as JSON with any of down, slowMs,\n" +
 			"loseNext (answers of writes; -1 for all) and throttled, and count at GET /counters.",
 	}
-	for _, name := range peers.Names() {
-		p, _ := peers.Get(name)
+	for _, name := range standins.Names() {
+		p, _ := standins.Get(name)
 		app.Commands = append(app.Commands, &cli.Command{
 			Name:   name,
 			Usage:  p.usage,
@@ -38,7 +38,7 @@
 		Name:   "all",
 		Usage:  "every stand-in, each on the next port after --listen, or all on free ports with port 0",
 		Flags:  append([]cli.Flag{listenFlag}, allFlags()...),
-		Action: func(c *cli.Context) error { return serve(c, out, peers.Names()...) },
+		Action: func(c *cli.Context) error { return serve(c, out, standins.Names()...) },
 	})
 	return app
 }
@@ -48,8 +48,8 @@
 // allFlags joins the flags of all stand-ins.
 func allFlags() []cli.Flag {
 	var flags []cli.Flag
-	for _, name := range peers.Names() {
-		p, _ := peers.Get(name)
+	for _, name := range standins.Names() {
+		p, _ := standins.Get(name)
 		flags = append(flags, p.flags...)
 	}
 	return flags
--- a/cmd/standin/main_test.go
+++ b/cmd/standin/main_test.go
@@ -12,8 +12,8 @@
 	"go.uber.org/goleak"
 )
 
-// All stand-ins start, tell their addresses, take a fault and count over HTTP,
-// refuse a mistyped fault, and end with their context.
+// Guards against a stand-in that does not start, print its address or end with its context, and
+// against faults and counters that do not work over HTTP: a mistyped fault is refused.
 func TestAll(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	defer http.DefaultClient.CloseIdleConnections()
@@ -24,7 +24,7 @@
 
 	addresses := map[string]string{}
 	lines := bufio.NewScanner(reader)
-	for len(addresses) < len(peers.Names()) && lines.Scan() {
+	for len(addresses) < len(standins.Names()) && lines.Scan() {
 		name, address, _ := strings.Cut(lines.Text(), "=")
 		addresses[name] = "http://" + address
 	}
--- a/cmd/standin/serve.go
+++ b/cmd/standin/serve.go
@@ -25,7 +25,7 @@
 	}
 	var group run.Group
 	for i, name := range names {
-		if err := add(&group, c, out, name, nth(first, i)); err != nil {
+		if err := addServer(&group, c, out, name, addressOf(first, i)); err != nil {
 			return err
 		}
 	}
@@ -37,16 +37,17 @@
 	return err
 }
 
-// nth returns the address of the i-th stand-in; port 0 stays a free port.
-func nth(first netip.AddrPort, i int) string {
+// addressOf returns the address of the i-th stand-in, on the i-th port after the first. Port 0 stays
+// 0, so that each gets a free port.
+func addressOf(first netip.AddrPort, i int) string {
 	if first.Port() == 0 {
 		return first.String()
 	}
 	return netip.AddrPortFrom(first.Addr(), first.Port()+uint16(i)).String()
 }
 
-func add(group *run.Group, c *cli.Context, out io.Writer, name, address string) error {
-	p, _ := peers.Get(name)
+func addServer(group *run.Group, c *cli.Context, out io.Writer, name, address string) error {
+	p, _ := standins.Get(name)
 	handler, err := p.handler(c)
 	if err != nil {
 		return err
--- a/cmd/standin/standins.go
+++ b/cmd/standin/standins.go
@@ -13,29 +13,29 @@
 	"carawayspread/internal/standin/weights"
 )
 
-// peer is one kind of stand-in. Its flags have names that no other peer uses,
-// since the command all takes the flags of every peer.
-type peer struct {
+// standin is one kind of stand-in. Its flags have names that no other kind uses, since the command
+// all takes the flags of every kind.
+type standin struct {
 	usage   string
 	flags   []cli.Flag
 	handler func(c *cli.Context) (http.Handler, error)
 }
 
-var peers = carawayspread.NewRegistry[peer]("table")
+var standins = carawayspread.NewRegistry[standin]("table")
 
 var clock = carawayspread.SystemClock()
 
-var _ = peers.Register("table", peer{
+var _ = standins.Register("table", standin{
 	usage:   "the table service, by the DynamoDB protocol",
 	handler: func(*cli.Context) (http.Handler, error) { return table.New(clock), nil },
 })
 
-var _ = peers.Register("objects", peer{
+var _ = standins.Register("objects", standin{
 	usage:   "the object store, by the S3 protocol with path-style names",
 	handler: func(*cli.Context) (http.Handler, error) { return objects.New(clock), nil },
 })
 
-var _ = peers.Register("instances", peer{
+var _ = standins.Register("instances", standin{
 	usage: "the instance list: GET and POST /instances, PUT and DELETE /instances/ID",
 	flags: []cli.Flag{
 		&cli.DurationFlag{Name: "lag", Value: time.Second, Usage: "changes show after `DURATION`"},
@@ -45,7 +45,7 @@
 	},
 })
 
-var _ = peers.Register("weights", peer{
+var _ = standins.Register("weights", standin{
 	usage: "the weight store: GET /weights/NAME",
 	flags: []cli.Flag{
 		&cli.DurationFlag{Name: "weights-every", Value: time.Second, Usage: "serve one request every `DURATION`"},
