--- a/cmd/carawayspread/bench_test.go
+++ b/cmd/carawayspread/bench_test.go
@@ -23,12 +23,12 @@
 	microsecond   = int64(time.Microsecond)
 )
 
-// load sends requests at a fixed rate, whatever the answers take, and returns
-// the times to the whole answer.
+// load sends requests at a fixed rate, independently of how long answers take, and returns the times
+// from when each request was due to its complete answer.
 func load(b *testing.B, address, body string) *hdrhistogram.Histogram {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	defer client.CloseIdleConnections()
-	took := hdrhistogram.New(1, int64(10*time.Second)/microsecond, 3)
+	latencies := hdrhistogram.New(1, int64(10*time.Second)/microsecond, 3)
 	var mu sync.Mutex
 	var running sync.WaitGroup
 	next := time.Now()
@@ -52,15 +52,15 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			_ = took.RecordValue(time.Since(due).Microseconds())
+			_ = latencies.RecordValue(time.Since(due).Microseconds())
 		})
 	}
 	running.Wait()
-	return took
+	return latencies
 }
 
-// BenchmarkAddedTime measures what entry and sidecar add to a request against
-// a direct call of the same engine, at 500 requests a second on loopback.
+// BenchmarkAddedTime measures the time that entry and sidecar add to a request compared with a direct
+// call of the same engine, at 500 requests per second on loopback.
 func BenchmarkAddedTime(b *testing.B) {
 	f := newFleet(b)
 	e := engine.New(engine.ChecksFence(), engine.Slots(256))
@@ -68,22 +68,22 @@
 	f.sidecar("sidecar-1", model("engine-1", e))
 	f.sidecar("sidecar-2", model("engine-2", e))
 	entry := f.entry("entry-1")
-	whole := `{"model":"stand-in","prompt":"vereda","max_tokens":1}`
+	body := `{"model":"stand-in","prompt":"vereda","max_tokens":1}`
 	for b.Loop() {
-		through := load(b, entry.row.Address, whole)
-		alone := load(b, direct, whole)
+		proxied := load(b, entry.row.Address, body)
+		unproxied := load(b, direct, body)
 		for _, q := range []struct {
 			name string
 			at   float64
 		}{{"p50", 50}, {"p99", 99}} {
-			b.ReportMetric(float64(through.ValueAtPercentile(q.at)-alone.ValueAtPercentile(q.at)), "added-"+q.name+"-µs")
-			b.ReportMetric(float64(alone.ValueAtPercentile(q.at)), "direct-"+q.name+"-µs")
+			b.ReportMetric(float64(proxied.ValueAtPercentile(q.at)-unproxied.ValueAtPercentile(q.at)), "added-"+q.name+"-µs")
+			b.ReportMetric(float64(unproxied.ValueAtPercentile(q.at)), "direct-"+q.name+"-µs")
 		}
 	}
 }
 
-// BenchmarkAddedTimePerToken measures what entry and sidecar add to each token
-// of a stream, over streams of 1,000 tokens that the engine sends without pause.
+// BenchmarkAddedTimePerToken measures the time that entry and sidecar add to each token of a stream,
+// with streams of 1,000 tokens that the engine sends without pause.
 func BenchmarkAddedTimePerToken(b *testing.B) {
 	const tokens, streams = 1000, 20
 	f := newFleet(b)
@@ -95,28 +95,27 @@
 		began := time.Now()
 		for range streams {
 			got := stream(&process{row: carawayspread.Instance{Address: address}}, "vereda", tokens, nil)
-			qt.Assert(b, got.whole(), qt.IsTrue)
+			qt.Assert(b, got.complete(), qt.IsTrue)
 		}
 		return time.Since(began)
 	}
 	for b.Loop() {
-		through, alone := run(entry.row.Address), run(direct)
-		b.ReportMetric(float64((through-alone).Microseconds())/(tokens*streams), "added-µs/token")
+		proxied, unproxied := run(entry.row.Address), run(direct)
+		b.ReportMetric(float64((proxied-unproxied).Microseconds())/(tokens*streams), "added-µs/token")
 	}
 }
 
-// BenchmarkDrain ends a sidecar with 200 running streams and counts the cut
-// ones. A limiter begins with eight places and a request has two endpoints, so
-// that 60 engines stand beside the sidecar.
+// BenchmarkDrain ends a sidecar with 200 running streams and counts the interrupted ones. A limiter
+// starts with eight slots and a request has two candidate endpoints, so the sidecar has 60 engines.
 func BenchmarkDrain(b *testing.B) {
 	const streams, engines = 200, 60
 	for b.Loop() {
 		f := newFleet(b)
-		beside := []endpoint{}
+		endpoints := []endpoint{}
 		for i := range engines {
-			beside = append(beside, model(fmt.Sprint("engine-", i), engine.New(engine.ChecksFence(), engine.TokenEvery(gap))))
+			endpoints = append(endpoints, model(fmt.Sprint("engine-", i), engine.New(engine.ChecksFence(), engine.TokenEvery(gap))))
 		}
-		leaving := f.sidecar("sidecar-1", beside...)
+		draining := f.sidecar("sidecar-1", endpoints...)
 		entry := f.entry("entry-1")
 		answers := make([]answer, streams)
 		var running, first sync.WaitGroup
@@ -126,22 +125,22 @@
 		}
 		first.Wait()
 		began := time.Now()
-		_ = leaving.cmd.Process.Signal(terminate)
+		_ = draining.cmd.Process.Signal(terminate)
 		atOnce := 0
-		for _, e := range beside {
+		for _, e := range endpoints {
 			atOnce += e.handler.(*engine.Engine).Running()
 		}
 		running.Wait()
-		<-leaving.ended
-		cut := 0
+		<-draining.ended
+		interrupted := 0
 		for _, a := range answers {
-			if !a.whole() {
+			if !a.complete() {
 				b.Log(a.status, a.code(), a.err, len(a.body))
-				cut++
+				interrupted++
 			}
 		}
 		b.ReportMetric(float64(atOnce), "running")
-		b.ReportMetric(float64(cut), "cut")
+		b.ReportMetric(float64(interrupted), "cut")
 		b.ReportMetric(time.Since(began).Seconds(), "drain-s")
 	}
 }
--- a/cmd/carawayspread/capacity_test.go
+++ b/cmd/carawayspread/capacity_test.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	workersBeside = 4
-	settle        = 6 * time.Second // for garbage of the start to be returned
-	observed      = 10 * time.Second
-	warmUp        = 3                     // reports of each sidecar; the first are full ones
-	clockTick     = 10 * time.Millisecond // of /proc/<pid>/stat
+	workersPerSidecar = 4
+	settleTime        = 6 * time.Second // until the memory of the start is returned
+	observeTime       = 10 * time.Second
+	warmUpReports     = 3                     // reports of each sidecar; the first ones are full reports
+	clockTick         = 10 * time.Millisecond // of /proc/<pid>/stat
 )
 
-// usage is what a process used.
+// usage is the memory and the processor time that a process uses.
 type usage struct {
 	resident int64 // bytes
 	cpu      time.Duration
@@ -43,30 +43,30 @@
 	return usage{resident: pages * int64(os.Getpagesize()), cpu: time.Duration(user+system) * clockTick}
 }
 
-// observe reports memory and processor share of a process that is left alone.
+// observe reports the memory and the processor share of a process without requests.
 func observe(b *testing.B, p *process) {
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	before := p.usage()
-	time.Sleep(observed)
+	time.Sleep(observeTime)
 	after := p.usage()
 	b.ReportMetric(float64(after.resident)/(1<<20), "resident-MB")
-	b.ReportMetric(100*float64(after.cpu-before.cpu)/float64(observed), "cpu-%")
+	b.ReportMetric(100*float64(after.cpu-before.cpu)/float64(observeTime), "cpu-%")
 }
 
 // BenchmarkSidecarControl measures a sidecar with four engines and no requests.
 func BenchmarkSidecarControl(b *testing.B) {
 	for b.Loop() {
 		f := newFleet(b)
-		beside := []endpoint{}
-		for i := range workersBeside {
-			beside = append(beside, model(fmt.Sprint("engine-", i), engine.New()))
+		endpoints := []endpoint{}
+		for i := range workersPerSidecar {
+			endpoints = append(endpoints, model(fmt.Sprint("engine-", i), engine.New()))
 		}
-		observe(b, f.sidecar("sidecar-1", beside...))
+		observe(b, f.sidecar("sidecar-1", endpoints...))
 	}
 }
 
-// BenchmarkEntryControl measures an entry that hears of a whole fleet and
-// serves no requests, by the number of workers and of workspaces.
+// BenchmarkEntryControl measures an entry that receives the load reports of a whole fleet and serves
+// no requests, by the number of workers and of workspaces.
 func BenchmarkEntryControl(b *testing.B) {
 	for _, size := range []struct{ workers, workspaces int }{{20, 10}, {200, 10}, {1300, 10}, {1300, 1000}, {1300, 6800}} {
 		b.Run(fmt.Sprintf("workers=%d/workspaces=%d", size.workers, size.workspaces), func(b *testing.B) {
@@ -83,27 +83,27 @@
 	}
 }
 
-// addWorkspaces has n workspaces accepted, as many to a change as fit.
+// addWorkspaces adds n workspaces to the configuration, as many per change as fit.
 func (f *fleet) addWorkspaces(n int) {
-	const each = 400
-	for from := 0; from < n; from += each {
+	const perChange = 400
+	for from := 0; from < n; from += perChange {
 		names := []string{}
-		for i := from; i < min(from+each, n); i++ {
+		for i := from; i < min(from+perChange, n); i++ {
 			names = append(names, fmt.Sprintf(`{"name": "workspace-%05d"}`, i))
 		}
 		f.change(`{"set": {"workspaces": [` + strings.Join(names, ",") + `]}}`)
 	}
 }
 
-// listWorkers lists the sidecars of n workers, which do not exist.
+// listWorkers adds the sidecars of n workers to the instance list. No such processes run.
 func (f *fleet) listWorkers(n int) []carawayspread.Instance {
 	rows := []carawayspread.Instance{}
-	for i := 0; i < n; i += workersBeside {
+	for i := 0; i < n; i += workersPerSidecar {
 		row := carawayspread.Instance{
 			ID: fmt.Sprintf("sidecar-%04d", i), Role: carawayspread.InstanceSidecar, State: carawayspread.InstanceLive,
 			Region: "local", Zone: fmt.Sprint("zone-", i%13), Address: "127.0.0.1:9", Control: "127.0.0.1:9",
 		}
-		for k := range workersBeside {
+		for k := range workersPerSidecar {
 			row.Endpoints = append(row.Endpoints, carawayspread.InstanceEndpoint{
 				ID: carawayspread.EndpointID(fmt.Sprintf("worker-%04d", i+k)), Service: "assistant",
 			})
@@ -114,8 +114,8 @@
 	return rows
 }
 
-// sendReports sends the reports of all sidecars at the interval that they would
-// keep, and reports the bytes that the entry receives.
+// sendReports sends the load reports of all sidecars at the interval that real ones use, until stop
+// is called, which reports the rate in bytes that the entry receives.
 func sendReports(b *testing.B, entry *process, rows []carawayspread.Instance) (stop func()) {
 	socket, err := report.Listen("127.0.0.1:0")
 	qt.Assert(b, err, qt.IsNil)
@@ -123,7 +123,7 @@
 	reporters := make([]*reporter.Reporter, len(rows))
 	for i, row := range rows {
 		reporters[i] = reporter.New(row.ID, time.Now())
-		for range warmUp + i%warmUp {
+		for range warmUpReports + i%warmUpReports {
 			_ = socket.Send(reporters[i].Next(loadsOf(row), 1, false), to)
 		}
 		time.Sleep(time.Millisecond)
@@ -144,7 +144,7 @@
 			}
 		}
 	}()
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	began, before := time.Now(), bytes.Load()
 	return func() {
 		b.ReportMetric(float64(bytes.Load()-before)/time.Since(began).Seconds(), "report-B/s")
--- a/cmd/carawayspread/crash_test.go
+++ b/cmd/carawayspread/crash_test.go
@@ -12,8 +12,8 @@
 	"carawayspread/internal/standin/engine"
 )
 
-// crashFleet starts an engine beside each of six sidecars, and two entries.
-// The engines are back soon after a crash, so that each could be a victim.
+// crashFleet starts six sidecars with one engine each, and two entries. The engines restart within a
+// millisecond of a crash, so that each of them could be crashed.
 func crashFleet(t *testing.T) (f *fleet, entries []*process, engines []*engine.Engine) {
 	f = newFleet(t)
 	for i := range 6 {
@@ -33,16 +33,15 @@
 	return n
 }
 
-// The caller of a request that crashes its engine gets a final refusal and
-// sends it again and again through both entries.
-// The first run crashes an engine, the one trial that the fleet claims crashes
-// a second; every later copy is refused at once, through either entry.
-func TestCrashingRequestHasTwoVictims(t *testing.T) {
+// Guards against a request that crashes one engine after the other. The caller resends it through
+// both entries although its refusal is final. The first run crashes an engine, and the only trial
+// that the fleet claims crashes a second one; every later copy is refused at once by both entries.
+func TestCrashingRequestCrashesTwoEndpoints(t *testing.T) {
 	_, entries, engines := crashFleet(t)
 	last := ""
 	for i := range 12 {
 		got := stream(entries[i%2], engine.CrashMarker, 5, nil)
-		qt.Check(t, got.whole(), qt.IsFalse)
+		qt.Check(t, got.complete(), qt.IsFalse)
 		qt.Check(t, got.notRun(), qt.Equals, i > 0) // the first one ran
 		last = got.code()
 	}
@@ -50,9 +49,9 @@
 	qt.Check(t, crashes(engines), qt.Equals, 2)
 }
 
-// Copies of the request arrive at once through both entries. All meet at the
-// two engines that the request maps to, so the fleet loses no third one.
-func TestConcurrentCopiesHaveTwoVictims(t *testing.T) {
+// Guards against concurrent copies of a crashing request that crash more than two engines. Copies
+// arrive at both entries at once, and all are sent to the two engines that the request maps to.
+func TestConcurrentCopiesCrashTwoEndpoints(t *testing.T) {
 	_, entries, engines := crashFleet(t)
 	var running sync.WaitGroup
 	for i := range 12 {
@@ -60,14 +59,14 @@
 	}
 	running.Wait()
 	stream(entries[0], engine.CrashMarker, 5, nil)
-	victims := slices.DeleteFunc(engines, func(e *engine.Engine) bool { return e.Crashes() == 0 })
-	qt.Check(t, len(victims) <= 2, qt.IsTrue, qt.Commentf("%d endpoints crashed", len(victims)))
+	crashed := slices.DeleteFunc(engines, func(e *engine.Engine) bool { return e.Crashes() == 0 })
+	qt.Check(t, len(crashed) <= 2, qt.IsTrue, qt.Commentf("%d endpoints crashed", len(crashed)))
 }
 
-// An innocent request shares the engine with one that crashes it.
-// Both become suspects; the innocent one resumes as a trial on another engine,
-// is served whole, and is cleared: its next copy runs as any other.
-func TestInnocentRequestIsCleared(t *testing.T) {
+// Guards against the quarantine of a request that runs on an engine while another one crashes it.
+// Both become suspects. The harmless one resumes as a trial on another engine, completes and is no
+// longer suspect: its next copy runs like any other request.
+func TestRequestBesideACrashIsNotQuarantined(t *testing.T) {
 	_, entries, engines := crashFleet(t)
 	want := stream(entries[0], "innocent", 60, nil)
 	got := stream(entries[0], "innocent", 60, func() {
@@ -77,7 +76,7 @@
 			}
 		}
 	})
-	qt.Check(t, got.whole(), qt.IsTrue, qt.Commentf("%s", got.body))
+	qt.Check(t, got.complete(), qt.IsTrue, qt.Commentf("%s", got.body))
 	qt.Check(t, got.text(), qt.Equals, want.text())
-	qt.Check(t, stream(entries[1], "innocent", 60, nil).whole(), qt.IsTrue)
+	qt.Check(t, stream(entries[1], "innocent", 60, nil).complete(), qt.IsTrue)
 }
--- a/cmd/carawayspread/fleet_test.go
+++ b/cmd/carawayspread/fleet_test.go
@@ -50,7 +50,7 @@
 	os.Exit(code)
 }
 
-// terminate asks a daemon to leave.
+// terminate asks a daemon to drain and end.
 const terminate = syscall.SIGTERM
 
 const (
@@ -75,29 +75,29 @@
 	"endpoints": [%s]}`
 )
 
-// fleet is real entry and sidecar processes before stand-ins of this process.
+// fleet is a set of entry and sidecar processes with stand-ins that run in the test process.
 type fleet struct {
 	t        testing.TB
 	table    *table.Table
 	list     *instances.List
-	platform string // the settings' part
+	platform string // JSON of the platform, as in the settings
 	changes  *changelog.Log
-	config   *carawayspread.Config // the newest that this test had accepted
+	config   *carawayspread.Config // the newest that was accepted
 }
 
 func newFleet(t testing.TB) *fleet {
 	clock := carawayspread.SystemClock()
 	f := &fleet{t: t, table: table.New(clock), list: instances.New(clock, 0)}
-	tableAt, objectsAt := serve(t, f.table), serve(t, objects.New(clock))
+	tableAddress, objectsAddress := serve(t, f.table), serve(t, objects.New(clock))
 	f.platform = fmt.Sprintf(`"table": %q, "objects": %q, "instanceList": %q, "weights": %q`,
-		tableAt, objectsAt, serve(t, f.list), serve(t, weights.New(clock, time.Second, 1, 1)))
-	f.changes = changelog.New(dynamodb.New("http://"+tableAt), s3.New("http://"+objectsAt), clock)
+		tableAddress, objectsAddress, serve(t, f.list), serve(t, weights.New(clock, time.Second, 1, 1)))
+	f.changes = changelog.New(dynamodb.New("http://"+tableAddress), s3.New("http://"+objectsAddress), clock)
 	f.config = carawayspread.NewConfig(0, nil, nil, nil)
 	f.change(testConfig)
 	return f
 }
 
-// change has a change of the configuration accepted.
+// change appends a change of the configuration to its log.
 func (f *fleet) change(text string) {
 	f.t.Helper()
 	_, cfg, err := f.changes.Append(context.Background(), changelog.Proposal{
@@ -113,7 +113,7 @@
 	return server.Listener.Addr().String()
 }
 
-// process is one daemon.
+// process is one daemon process.
 type process struct {
 	t       testing.TB
 	cmd     *exec.Cmd
@@ -122,13 +122,13 @@
 	link    *link // between the entries and a sidecar, where there is one
 	mu      sync.Mutex
 	log     bytes.Buffer
-	started chan string // the line in which it names its addresses
+	started chan string // the log line with its addresses
 	ended   chan struct{}
 }
 
-var addresses = regexp.MustCompile(`(admin|control|listen)=(\S+)`)
+var addressPattern = regexp.MustCompile(`(admin|control|listen)=(\S+)`)
 
-// start runs a daemon and puts it into the instance list.
+// start starts a daemon and adds it to the instance list.
 func (f *fleet) start(role carawayspread.InstanceRole, id, settings string, endpoints ...carawayspread.InstanceEndpoint) *process {
 	f.t.Helper()
 	file := filepath.Join(f.t.TempDir(), id+".jsonc")
@@ -138,7 +138,7 @@
 	stderr, err := p.cmd.StderrPipe()
 	qt.Assert(f.t, err, qt.IsNil)
 	qt.Assert(f.t, p.cmd.Start(), qt.IsNil)
-	go p.follow(stderr)
+	go p.readLog(stderr)
 	f.t.Cleanup(p.kill)
 	var line string
 	select {
@@ -147,7 +147,7 @@
 		f.t.Fatalf("%s did not start:\n%s", id, p.logged())
 	}
 	p.row = carawayspread.Instance{ID: id, Role: role, State: carawayspread.InstanceLive, Region: "local", Zone: "zone-a", Endpoints: endpoints}
-	for _, match := range addresses.FindAllStringSubmatch(line, -1) {
+	for _, match := range addressPattern.FindAllStringSubmatch(line, -1) {
 		switch match[1] {
 		case "listen":
 			p.row.Address = match[2]
@@ -161,7 +161,7 @@
 	return p
 }
 
-func (p *process) follow(stderr io.Reader) {
+func (p *process) readLog(stderr io.Reader) {
 	defer close(p.ended)
 	lines := bufio.NewScanner(stderr)
 	for lines.Scan() {
@@ -188,20 +188,20 @@
 	<-p.ended
 }
 
-// sidecar starts a sidecar before those endpoints.
+// sidecar starts a sidecar with those endpoints.
 func (f *fleet) sidecar(id string, endpoints ...endpoint) *process {
 	return f.sidecarWith(sidecarSettings, id, endpoints...)
 }
 
-// sidecarWith starts a sidecar with settings of that form.
+// sidecarWith starts a sidecar with settings made from that template.
 func (f *fleet) sidecarWith(settings, id string, endpoints ...endpoint) *process {
-	rows, parts := []carawayspread.InstanceEndpoint{}, []string{}
+	rows, fragments := []carawayspread.InstanceEndpoint{}, []string{}
 	for _, e := range endpoints {
 		rows = append(rows, carawayspread.InstanceEndpoint{ID: carawayspread.EndpointID(e.id), Service: e.service})
-		parts = append(parts, fmt.Sprintf(`{"id": %q, "service": %q, "kind": %q, "address": %q, "checksFence": true, "slots": 256}`,
+		fragments = append(fragments, fmt.Sprintf(`{"id": %q, "service": %q, "kind": %q, "address": %q, "checksFence": true, "slots": 256}`,
 			e.id, e.service, e.kind, serve(f.t, e.handler)))
 	}
-	return f.start(carawayspread.InstanceSidecar, id, fmt.Sprintf(settings, id, f.platform, strings.Join(parts, ",")), rows...)
+	return f.start(carawayspread.InstanceSidecar, id, fmt.Sprintf(settings, id, f.platform, strings.Join(fragments, ",")), rows...)
 }
 
 type endpoint struct {
@@ -213,7 +213,7 @@
 
 func records(id string, s *plain.Service) endpoint { return endpoint{id, "records", "plain", s} }
 
-// entry starts an entry and returns when it can serve.
+// entry starts an entry and waits until it is ready.
 func (f *fleet) entry(id string) *process { return f.entryWith(entrySettings, id) }
 
 func (f *fleet) entryWith(settings, id string) *process {
@@ -222,17 +222,17 @@
 	return p
 }
 
-// eventually waits until the condition holds. The test fails only when it does
-// not hold for so long that something must be broken.
-func (f *fleet) eventually(holds func() bool) {
+// eventually waits until the condition holds, for at least 30 seconds: the test must fail only where
+// something is broken, not where the machine is slow.
+func (f *fleet) eventually(condition func() bool) {
 	f.t.Helper()
 	for range 3000 {
-		if holds() {
+		if condition() {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	f.t.Fatal("the condition did not come to hold")
+	f.t.Fatal("the condition was not met in time")
 }
 
 // answer is what a caller received.
@@ -240,7 +240,7 @@
 	status int
 	header http.Header
 	body   string
-	err    error // of the body, as an HTTP client sees it
+	err    error // of the request or of reading the body
 }
 
 func (a answer) code() string {
@@ -252,9 +252,9 @@
 
 func (a answer) notRun() bool { return strings.Contains(a.body, `"notRun":true`) }
 
-func (a answer) whole() bool { return a.err == nil && strings.HasSuffix(a.body, "data: [DONE]\n\n") }
+func (a answer) complete() bool { return a.err == nil && strings.HasSuffix(a.body, "data: [DONE]\n\n") }
 
-// text returns the tokens of a stream, without the names that differ by request.
+// text returns the tokens of a completion, without the ids that differ between requests.
 func (a answer) text() string {
 	var text strings.Builder
 	for _, match := range regexp.MustCompile(`"text":"([^"]*)"`).FindAllStringSubmatch(a.body, -1) {
@@ -263,7 +263,7 @@
 	return text.String()
 }
 
-// call sends a request; onByte, if not nil, runs when the body's first byte is there.
+// call sends a request. If onByte is not nil, it is called when the first byte of the body arrives.
 func call(p *process, method, path, class, body string, onByte func(), header ...string) answer {
 	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+p.row.Address+path, strings.NewReader(body))
 	if err != nil {
@@ -292,7 +292,7 @@
 	return fmt.Sprintf(`{"model":"stand-in","prompt":%q,"max_tokens":%d,"stream":true}`, prompt, tokens)
 }
 
-// stream asks for a streamed completion.
+// stream requests a streamed completion.
 func stream(p *process, prompt string, tokens int, onByte func()) answer {
 	return call(p, http.MethodPost, "/v1/completions", "interactive", streamBody(prompt, tokens), onByte)
 }
--- a/cmd/carawayspread/link_test.go
+++ b/cmd/carawayspread/link_test.go
@@ -9,8 +9,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// link is a network path that can be cut: bytes then vanish in both directions
-// and no connection ends, as when a switch fails.
+// link is a network path that can be cut: bytes are then dropped in both directions and connections
+// stay open, as when a switch fails.
 type link struct {
 	address string
 	cut     atomic.Bool
@@ -23,17 +23,17 @@
 	l := &link{address: listener.Addr().String()}
 	go func() {
 		for {
-			near, err := listener.Accept()
+			client, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			far, err := net.Dial("tcp", to)
+			server, err := net.Dial("tcp", to)
 			if err != nil {
-				_ = near.Close()
+				_ = client.Close()
 				continue
 			}
-			go l.copy(far, near)
-			go l.copy(near, far)
+			go l.copy(server, client)
+			go l.copy(client, server)
 		}
 	}()
 	return l
@@ -59,8 +59,8 @@
 	return w.to.Write(p)
 }
 
-// between puts a link between the entries and a sidecar.
-func (f *fleet) between(sidecar *process) *link {
+// insertLink puts a link between the entries and a sidecar.
+func (f *fleet) insertLink(sidecar *process) *link {
 	l := newLink(f.t, sidecar.row.Address)
 	row := sidecar.row
 	row.Address = l.address
--- a/cmd/carawayspread/main.go
+++ b/cmd/carawayspread/main.go
@@ -1,5 +1,4 @@
-// Command carawayspread runs the daemons of the serving system and the verbs
-// of its operators.
+// Command carawayspread runs the daemons of the serving system and the commands of its operators.
 package main
 
 import (
--- a/cmd/carawayspread/once_test.go
+++ b/cmd/carawayspread/once_test.go
@@ -12,10 +12,10 @@
 	"carawayspread/internal/standin/plain"
 )
 
-// A counter issues one receipt under one idempotency key and asks again, twice,
-// through another entry. Something fails before the first request or while its
-// receipt is being issued. The receipt is issued at most once, both retries get
-// the same, and where the first answer is final they get that one.
+// Guards against a receipt that is issued twice, and against retries that get different answers. A
+// caller requests one receipt under one idempotency key and retries twice through another entry. A
+// fault occurs before the first request or while its receipt is being issued. Both retries must get
+// the same answer, which is the first answer where that one was final.
 func TestReceiptIsIssuedAtMostOnce(t *testing.T) {
 	const created, conflict = http.StatusCreated, http.StatusConflict
 	tests := map[string]struct {
@@ -76,7 +76,7 @@
 				qt.Check(t, first.code(), qt.Equals, string(test.first))
 			}
 			second := answer{}
-			f.eventually(func() bool { // a withdrawn claim or a late end takes a second
+			f.eventually(func() bool { // withdrawing a claim or recording the outcome late takes a second
 				second = issue(other)
 				return second.status == test.status && second.code() == string(test.retry)
 			})
--- a/cmd/carawayspread/orders_test.go
+++ b/cmd/carawayspread/orders_test.go
@@ -19,119 +19,118 @@
 	"carawayspread/internal/standin/engine"
 )
 
-// ordered is one engine with its sidecars, and the planner of its service.
-type ordered struct {
+// orderFleet is a fleet with one engine, its sidecars, and the planner of its service.
+type orderFleet struct {
 	*fleet
-	engine *engineclient.Client
-	part   string // the endpoint in the settings
-	plans  *planstore.Store
-	plan   planstore.Plan
-	check  carawayspread.Write
+	engine           *engineclient.Client
+	endpointSettings string // JSON of the endpoint, as in the settings
+	plans            *planstore.Store
+	plan             planstore.Plan
+	leaseCheck       carawayspread.Write
 }
 
-func newOrdered(t *testing.T, e *engine.Engine, checksFence bool) *ordered {
+func newOrderFleet(t *testing.T, e *engine.Engine, checksFence bool) *orderFleet {
 	f := newFleet(t)
 	client := dynamodb.New("http://" + serve(t, f.table))
 	planner := lease.New(client, carawayspread.SystemClock(), "planner/assistant", lease.WithTerm(time.Hour))
 	qt.Assert(t, planner.Try(t.Context()), qt.IsNil)
-	check, _ := planner.Check()
-	free, err := net.Listen("tcp", "127.0.0.1:0")
+	leaseCheck, _ := planner.Check()
+	guardListener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, free.Close(), qt.IsNil)
-	at := serve(t, e)
-	return &ordered{
-		fleet: f, check: check, plans: planstore.New(client, "assistant"), engine: engineclient.New(at, http.DefaultClient),
-		part: fmt.Sprintf(`{"id": "engine-1", "service": "assistant", "kind": "model", "address": %q, "checksFence": %v, "orderGuard": %q, "slots": 32}`,
-			at, checksFence, free.Addr()),
+	qt.Assert(t, guardListener.Close(), qt.IsNil)
+	address := serve(t, e)
+	return &orderFleet{
+		fleet: f, leaseCheck: leaseCheck, plans: planstore.New(client, "assistant"), engine: engineclient.New(address, http.DefaultClient),
+		endpointSettings: fmt.Sprintf(`{"id": "engine-1", "service": "assistant", "kind": "model", "address": %q, "checksFence": %v, "orderGuard": %q, "slots": 32}`,
+			address, checksFence, guardListener.Addr()),
 	}
 }
 
-func (o *ordered) sidecar() *process {
-	return o.start(carawayspread.InstanceSidecar, "sidecar-1", fmt.Sprintf(sidecarSettings, "sidecar-1", o.platform, o.part),
+func (o *orderFleet) sidecar() *process {
+	return o.start(carawayspread.InstanceSidecar, "sidecar-1", fmt.Sprintf(sidecarSettings, "sidecar-1", o.platform, o.endpointSettings),
 		carawayspread.InstanceEndpoint{ID: "engine-1", Service: "assistant"})
 }
 
-// order writes the next plan: one change of role.
-func (o *ordered) order(role carawayspread.Role) {
+// planRole writes the next plan, with one change of the role.
+func (o *orderFleet) planRole(role carawayspread.Role) {
 	o.t.Helper()
 	id := fmt.Sprintf("assistant/%d/engine-1/1", o.plan.Number()+1)
 	step := planstore.Step{Endpoint: "engine-1", Order: carawayspread.Order{ID: id, Kind: carawayspread.OrderSetRole, Value: string(role)}}
-	plan, err := o.plans.Write(context.Background(), o.check, o.plan, []planstore.Step{step})
+	plan, err := o.plans.Write(context.Background(), o.leaseCheck, o.plan, []planstore.Step{step})
 	qt.Assert(o.t, err, qt.IsNil)
 	o.plan = plan
 }
 
-func (o *ordered) state() carawayspread.EngineState {
+func (o *orderFleet) state() carawayspread.EngineState {
 	state, err := o.engine.State(context.Background())
 	qt.Check(o.t, err, qt.IsNil)
 	return state
 }
 
-func (o *ordered) hasRole(role carawayspread.Role) func() bool {
+func (o *orderFleet) hasRole(role carawayspread.Role) func() bool {
 	return func() bool { state := o.state(); return state.Role == role && !state.Changing }
 }
 
-// The caller of a stream sees nothing of a change of role.
-// The plan is written while the stream runs, for longer than sidecars take to
-// read it. The sidecar must stop new work, wait until the stream has its last
-// event, and only then order the change.
-func TestRoleChangeCutsNothing(t *testing.T) {
+// Guards against a role change that interrupts a running stream. The plan is written while the
+// stream runs, and the stream runs for longer than sidecars take to read the plan. The sidecar must
+// refuse new requests, wait for the last event of the stream, and only then order the change.
+func TestRoleChangeInterruptsNoStream(t *testing.T) {
 	t.Parallel()
 	e := engine.New(engine.TokenEvery(gap), engine.ChecksFence())
-	o := newOrdered(t, e, true)
+	o := newOrderFleet(t, e, true)
 	o.sidecar()
 	entry := o.entry("entry-1")
-	o.order(carawayspread.RolePrefill)
+	o.planRole(carawayspread.RolePrefill)
 	o.eventually(o.hasRole(carawayspread.RolePrefill))
 	tooEarly := make(chan bool, 1)
 	got := stream(entry, "x", 400, func() {
-		o.order(carawayspread.RoleDecode)
+		o.planRole(carawayspread.RoleDecode)
 		go func() {
 			o.eventually(o.hasRole(carawayspread.RoleDecode))
 			tooEarly <- e.Running() > 0
 		}()
 	})
-	qt.Check(t, got.whole(), qt.IsTrue)
+	qt.Check(t, got.complete(), qt.IsTrue)
 	qt.Check(t, <-tooEarly, qt.IsFalse)
-	o.eventually(func() bool { return stream(entry, "y", 1, nil).whole() })
+	o.eventually(func() bool { return stream(entry, "y", 1, nil).complete() })
 }
 
-// An engine that ignores fencing numbers has two sidecars.
-// The first one has carried out a plan and is paused; its successor reads a
-// newer plan at once. It must order nothing as long as the first one can wake
-// and send, and carry the plan out when the first one is dead.
-func TestPausedSidecarKeepsTheGuard(t *testing.T) {
+// Guards against an outdated order to an engine that ignores fencing tokens and has two sidecars. The
+// first sidecar has executed a plan and is paused; its successor reads a newer plan at once. The
+// successor must order nothing as long as the first one may resume and send, and must execute the
+// plan once the first one is dead.
+func TestPausedSidecarKeepsTheOrderGuard(t *testing.T) {
 	t.Parallel()
-	o := newOrdered(t, engine.New(), false)
+	o := newOrderFleet(t, engine.New(), false)
 	paused := o.sidecar()
-	o.order(carawayspread.RolePrefill)
+	o.planRole(carawayspread.RolePrefill)
 	o.eventually(o.hasRole(carawayspread.RolePrefill))
 	paused.signal(syscall.SIGSTOP)
-	o.order(carawayspread.RoleDecode)
+	o.planRole(carawayspread.RoleDecode)
 	o.sidecar()
-	time.Sleep(3 * time.Second) // the successor would have ordered after a fraction of it
+	time.Sleep(3 * time.Second) // without the guard the successor orders within a fraction of this
 	qt.Check(t, o.state().Role, qt.Equals, carawayspread.RolePrefill)
 	paused.kill()
 	o.eventually(o.hasRole(carawayspread.RoleDecode))
 }
 
-// A sidecar is killed while its engine changes. The one started after it finds
-// the engine changing, waits, and sees that the order is in effect. The change
-// lasts until both have happened, however slow the machine is.
-func TestSidecarKilledInMidChange(t *testing.T) {
+// Guards against a role order that is sent twice because its sidecar is killed while the engine
+// changes its role. The sidecar started afterwards finds the engine changing, waits, and finds the
+// order in effect. The change lasts until both have happened, however slow the test runs.
+func TestSidecarKilledDuringRoleChange(t *testing.T) {
 	t.Parallel()
-	ends := make(chan struct{})
-	e := engine.New(engine.ChecksFence(), engine.ChangeEnds(ends))
-	o := newOrdered(t, e, true)
+	finish := make(chan struct{})
+	e := engine.New(engine.ChecksFence(), engine.ChangeEnds(finish))
+	o := newOrderFleet(t, e, true)
 	first := o.sidecar()
-	o.order(carawayspread.RoleDecode)
+	o.planRole(carawayspread.RoleDecode)
 	o.eventually(func() bool { return o.state().Changing })
 	first.kill()
 	o.sidecar()
 	qt.Check(t, o.state().Changing, qt.IsTrue)
-	close(ends)
+	close(finish)
 	o.eventually(o.hasRole(carawayspread.RoleDecode))
-	o.order(carawayspread.RoleBoth)
+	o.planRole(carawayspread.RoleBoth)
 	o.eventually(o.hasRole(carawayspread.RoleBoth))
 	ids := []string{}
 	for _, order := range e.Orders() {
--- a/cmd/carawayspread/processes_test.go
+++ b/cmd/carawayspread/processes_test.go
@@ -19,14 +19,15 @@
 
 const gap = 20 * time.Millisecond // between tokens of the engines under test
 
-// twoEngines starts two sidecars with an engine each, and an entry.
+// twoEngines starts two sidecars with one engine each, and an entry. A crashed engine does not
+// restart during the test.
 func twoEngines(t *testing.T) (f *fleet, entry *process, sidecars map[*engine.Engine]*process) {
 	f = newFleet(t)
 	sidecars = map[*engine.Engine]*process{}
 	for _, id := range []string{"1", "2"} {
 		e := engine.New(engine.TokenEvery(gap), engine.ChecksFence(), engine.Restart(time.Hour))
 		sidecars[e] = f.sidecar("sidecar-"+id, model("engine-"+id, e))
-		sidecars[e].link = f.between(sidecars[e])
+		sidecars[e].link = f.insertLink(sidecars[e])
 	}
 	return f, f.entry("entry-1"), sidecars
 }
@@ -49,15 +50,15 @@
 	return all
 }
 
-// A streamed and a whole completion and a call of a plain service go through
-// separate processes and come back whole.
+// Guards against an answer that is incomplete or differs between a streamed and an unstreamed
+// completion, through separate entry and sidecar processes. A plain service is called as well.
 func TestWholePath(t *testing.T) {
 	f := newFleet(t)
 	f.sidecar("sidecar-1", model("engine-1", engine.New(engine.ChecksFence())), records("records-1", plain.New(0)))
 	entry := f.entry("entry-1")
 
 	streamed := stream(entry, "vereda", 5, nil)
-	qt.Check(t, streamed.whole(), qt.IsTrue)
+	qt.Check(t, streamed.complete(), qt.IsTrue)
 	whole := call(entry, http.MethodPost, "/v1/completions", "interactive", `{"model":"stand-in","prompt":"vereda","max_tokens":5}`, nil)
 	qt.Check(t, whole.status, qt.Equals, http.StatusOK)
 	qt.Check(t, whole.text(), qt.Equals, streamed.text())
@@ -65,10 +66,10 @@
 	qt.Check(t, record.body, qt.Equals, "{\"record\":\"7\"}\n")
 }
 
-// The caller sees one uninterrupted answer.
-// The sidecar that serves it is killed, paused or cut off, or its engine
-// crashes, after the first tokens, most of them while the table is down too; the entry sees the cut, or the silence, and has another engine
-// resume after the last event that the caller has.
+// Guards against a stream that the caller sees interrupted. After the first tokens the sidecar is
+// killed, paused or cut off from the network, while the table is down too, or the engine crashes.
+// The entry detects the closed connection or the missing events, and has another engine resume after
+// the last event that the caller has.
 func TestStreamIsResumed(t *testing.T) {
 	tests := map[string]func(e *engine.Engine, sidecar *process){
 		"sidecar killed": func(_ *engine.Engine, sidecar *process) { sidecar.kill() },
@@ -80,8 +81,8 @@
 		t.Run(name, func(t *testing.T) {
 			f, entry, sidecars := twoEngines(t)
 			want := stream(entry, "municipio", 40, nil)
-			qt.Assert(t, want.whole(), qt.IsTrue, qt.Commentf("%s", want.body))
-			// A crash makes a suspect, whose trial needs the table.
+			qt.Assert(t, want.complete(), qt.IsTrue, qt.Commentf("%s", want.body))
+			// A crash makes the request a suspect, and claiming its trial needs the table.
 			f.table.SetDown(name != "engine crashed")
 			got := stream(entry, "municipio", 40, func() {
 				e := busy(sidecars)
@@ -91,30 +92,29 @@
 				}
 				fail(e, sidecars[e])
 			})
-			qt.Check(t, got.whole(), qt.IsTrue, qt.Commentf("%s\n%s", got.body, logs(entry, sidecars)))
+			qt.Check(t, got.complete(), qt.IsTrue, qt.Commentf("%s\n%s", got.body, logs(entry, sidecars)))
 			qt.Check(t, got.text(), qt.Equals, want.text())
 			qt.Check(t, strings.Contains(entry.logged(), "attempt failed"), qt.IsTrue)
 		})
 	}
 }
 
-// The caller never sees a stream that ended early as complete.
-// The entry is killed in the middle of the answer: the client sees a broken
-// connection and no closing event. The same request through another entry is
-// answered whole.
+// Guards against a stream that ended early and looks complete to the caller. The entry is killed
+// during the answer: the client gets a closed connection and no final event. The same request
+// through another entry is answered completely.
 func TestKilledEntryShowsNoCompleteAnswer(t *testing.T) {
 	f, entry, _ := twoEngines(t)
 	other := f.entry("entry-2")
 	got := stream(entry, "parcel", 40, entry.kill)
 	qt.Check(t, got.err, qt.IsNotNil)
-	qt.Check(t, got.whole(), qt.IsFalse)
-	qt.Check(t, stream(other, "parcel", 40, nil).whole(), qt.IsTrue)
+	qt.Check(t, got.complete(), qt.IsFalse)
+	qt.Check(t, stream(other, "parcel", 40, nil).complete(), qt.IsTrue)
 }
 
-// Callers see every running answer whole and nothing refused.
-// A sidecar, then the entry, is told to end while streams run: it takes no new
-// work and ends after the last of them.
-func TestGracefulShutdownCutsNothing(t *testing.T) {
+// Guards against a shutdown that interrupts running answers or has them resumed elsewhere. A sidecar
+// or the entry is told to end while streams run: it accepts no new requests and ends after the last
+// stream.
+func TestGracefulShutdownInterruptsNothing(t *testing.T) {
 	const streams = 20
 	tests := map[string]func(entry *process, sidecars map[*engine.Engine]*process) *process{
 		"sidecar":                       func(_ *process, sidecars map[*engine.Engine]*process) *process { return sidecars[busy(sidecars)] },
@@ -132,23 +132,23 @@
 				running.Go(func() { answers[i] = stream(entry, strings.Repeat("x", i+1), 40, first.Done) })
 			}
 			first.Wait()
-			leaving := choose(entry, sidecars)
-			leaving.signal(terminate)
+			draining := choose(entry, sidecars)
+			draining.signal(terminate)
 			running.Wait()
 			for _, a := range answers {
-				qt.Check(t, a.whole(), qt.IsTrue, qt.Commentf("%v %s", a.err, a.body))
+				qt.Check(t, a.complete(), qt.IsTrue, qt.Commentf("%v %s", a.err, a.body))
 			}
 			qt.Check(t, strings.Contains(entry.logged(), "attempt failed"), qt.IsFalse) // nothing had to be resumed
-			<-leaving.ended
-			qt.Check(t, leaving.cmd.ProcessState.ExitCode(), qt.Equals, 0, qt.Commentf("%s", leaving.logged()))
+			<-draining.ended
+			qt.Check(t, draining.cmd.ProcessState.ExitCode(), qt.Equals, 0, qt.Commentf("%s", draining.logged()))
 		})
 	}
 }
 
-// The caller's next request is served under the newer configuration.
-// The entry is paused, a class is deleted, the entry goes on and is asked at
-// once: its evidence of freshness is older than its bound, so it reads the log
-// before it serves, and knows that the class is gone.
+// Guards against a request that is served under an outdated configuration. The entry is paused, a
+// class is deleted, the entry resumes and gets a request at once. Its last confirmation of the
+// configuration is older than allowed, so it reads the log before it serves, and finds the class
+// deleted.
 func TestPausedEntryDoesNotServeUnderOldConfiguration(t *testing.T) {
 	f, entry, _ := twoEngines(t)
 	qt.Assert(t, stream(entry, "x", 1, nil).status, qt.Equals, http.StatusOK)
@@ -161,21 +161,20 @@
 	qt.Check(t, got.notRun(), qt.IsTrue)
 }
 
-// Callers are served while the table is down, and an entry that starts then
-// gets its configuration from its peers and serves too.
+// Guards against requests that fail while the table is down, and against an entry that cannot start
+// then: it gets its configuration from its peers.
 func TestStoreDown(t *testing.T) {
 	f, entry, _ := twoEngines(t)
 	f.table.SetDown(true)
-	qt.Check(t, stream(entry, "x", 3, nil).whole(), qt.IsTrue)
+	qt.Check(t, stream(entry, "x", 3, nil).complete(), qt.IsTrue)
 	late := f.entry("entry-2")
-	qt.Check(t, stream(late, "x", 3, nil).whole(), qt.IsTrue)
+	qt.Check(t, stream(late, "x", 3, nil).complete(), qt.IsTrue)
 }
 
-// The caller is not told that its request has not run when it may have.
-// The only sidecar is killed while its engine runs the request, so the second
-// attempt finds no endpoint and for itself has rightly not run; the first may
-// have, and the claim is about both.
-func TestRefusalAfterCutDoesNotClaimNotRun(t *testing.T) {
+// Guards against a refusal that claims that the request has not run when it may have. The only
+// sidecar is killed while its engine runs the request. The second attempt finds no endpoint and has
+// not run, but the first may have, and the claim covers both.
+func TestRefusalAfterKilledSidecarDoesNotClaimNotRun(t *testing.T) {
 	f := newFleet(t)
 	e := engine.New(engine.TokenEvery(gap), engine.ChecksFence())
 	sidecar := f.sidecar("sidecar-1", model("engine-1", e))
@@ -191,11 +190,11 @@
 	qt.Check(t, a.notRun(), qt.IsFalse, qt.Commentf("%s", a.body))
 }
 
-// Callers are served and the leaving endpoint starts none of their requests.
-// It is listed as leaving, drained by an operator, or its sidecar is told to
-// end, while a long stream still runs there; the table may be down and every
-// load report may be lost, so that the entry hears of it from refusals alone.
-func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
+// Guards against new requests that a draining endpoint starts, or that fail because of it. The
+// endpoint is listed as leaving, drained by an operator, or its sidecar is told to end, while a long
+// stream still runs there. With the table down and every load report lost, the entry learns of it
+// from refusals alone.
+func TestDrainingEndpointGetsNoNewRequests(t *testing.T) {
 	ways := map[string]func(f *fleet, entry, sidecar *process){
 		"listed": func(f *fleet, _, sidecar *process) {
 			row := sidecar.row
@@ -207,7 +206,7 @@
 		},
 		"ended": func(_ *fleet, _, sidecar *process) { sidecar.signal(terminate) },
 	}
-	for way, leave := range ways {
+	for way, drain := range ways {
 		for _, lost := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, reports and table lost %v", way, lost), func(t *testing.T) {
 				t.Parallel()
@@ -219,18 +218,18 @@
 					f.table.SetDown(true)
 				}
 				var long sync.WaitGroup
-				begun, kept := make(chan *engine.Engine, 1), answer{}
-				long.Go(func() { kept = stream(entry, "long", 200, func() { begun <- busy(sidecars) }) })
+				begun, longAnswer := make(chan *engine.Engine, 1), answer{}
+				long.Go(func() { longAnswer = stream(entry, "long", 200, func() { begun <- busy(sidecars) }) })
 				e := <-begun
-				leave(f, entry, sidecars[e])
+				drain(f, entry, sidecars[e])
 				f.eventually(func() bool { return !ready(sidecars[e].row.Control) })
 				before := e.Starts()
 				for i := range 20 {
-					qt.Check(t, stream(entry, fmt.Sprint("new ", i), 1, nil).whole(), qt.IsTrue)
+					qt.Check(t, stream(entry, fmt.Sprint("new ", i), 1, nil).complete(), qt.IsTrue)
 				}
 				qt.Check(t, e.Starts(), qt.Equals, before)
 				long.Wait()
-				qt.Check(t, kept.whole(), qt.IsTrue)
+				qt.Check(t, longAnswer.complete(), qt.IsTrue)
 			})
 		}
 	}
@@ -245,12 +244,10 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Every request is answered whole, and the first one alone meets the instance
-// that is gone.
-// A sidecar is killed and stays in the instance list. What is sent there cannot
-// be delivered, so the entry sends it elsewhere and puts the endpoint aside; a
-// trial after some seconds may meet it once more.
-func TestInstanceGoneIsPutAside(t *testing.T) {
+// Guards against requests that fail, or are sent again and again to an instance that is still listed
+// after its sidecar was killed. Requests to it cannot be delivered, so the entry sends them elsewhere and ejects
+// the endpoint after the first one; a probe some seconds later may be sent to it once more.
+func TestUnreachableInstanceIsEjected(t *testing.T) {
 	f := newFleet(t)
 	gone := f.sidecar("sidecar-1", model("engine-1", engine.New()))
 	f.sidecar("sidecar-2", model("engine-2", engine.New()))
@@ -258,7 +255,7 @@
 	gone.kill()
 	for i := range 100 {
 		got := stream(entry, fmt.Sprint(i, " vereda"), 1, nil)
-		qt.Assert(t, got.whole(), qt.IsTrue, qt.Commentf("%d: %s", i, got.body))
+		qt.Assert(t, got.complete(), qt.IsTrue, qt.Commentf("%d: %s", i, got.body))
 	}
 	entry.signal(terminate)
 	<-entry.ended
--- a/cmd/carawayspread/receipt_test.go
+++ b/cmd/carawayspread/receipt_test.go
@@ -12,10 +12,10 @@
 	"carawayspread/internal/standin/plain"
 )
 
-// issuers are the endpoints of a records service with their sidecars.
+// issuers maps the endpoints of a records service to their sidecars.
 type issuers map[*plain.Service]*process
 
-// receipts returns how many receipts were issued, and by whom last.
+// receipts returns how many receipts were issued, and the sidecar of an endpoint that issued one.
 func (i issuers) receipts() (n int, sidecar *process) {
 	for service, s := range i {
 		if issued := len(service.Receipts()); issued > 0 {
@@ -25,8 +25,8 @@
 	return n, sidecar
 }
 
-// onceFleet is two endpoints of a records service, whose receipts take a while,
-// each behind its sidecar, and two entries.
+// onceFleet starts two endpoints of a records service, whose receipts take 300 ms, each behind its
+// sidecar, and two entries.
 func onceFleet(t *testing.T) (f *fleet, service issuers, entries []*process) {
 	f, service = newFleet(t), issuers{}
 	for _, id := range []string{"1", "2"} {
@@ -40,7 +40,7 @@
 	return call(p, http.MethodPost, "/services/records/receipts", "interactive", body, nil, "Idempotency-Key", "claim-7")
 }
 
-// issued waits until a receipt is issued and returns the sidecar before it.
+// issued waits until a receipt is issued and returns the sidecar of its endpoint.
 func (f *fleet) issued(service issuers) (sidecar *process) {
 	f.eventually(func() bool { _, sidecar = service.receipts(); return sidecar != nil })
 	return sidecar
@@ -52,22 +52,22 @@
 	qt.Check(t, n, qt.Equals, want)
 }
 
-// The caller sends a receipt, and sends it again through another entry under
-// the same key. It runs once; the second caller gets the stored answer. Under
-// the same key another body is refused.
+// Guards against an idempotency key under which a request runs twice. The caller requests a receipt
+// and retries through another entry under the same key: the retry gets the stored answer. Another
+// body under the same key is refused.
 func TestReceiptIsReplayed(t *testing.T) {
 	_, service, entries := onceFleet(t)
-	first, again := receipt(entries[0], "a"), receipt(entries[1], "a")
+	first, second := receipt(entries[0], "a"), receipt(entries[1], "a")
 	qt.Check(t, first.status, qt.Equals, http.StatusCreated)
-	qt.Check(t, again.status, qt.Equals, first.status)
-	qt.Check(t, again.body, qt.Equals, first.body)
+	qt.Check(t, second.status, qt.Equals, first.status)
+	qt.Check(t, second.body, qt.Equals, first.body)
 	qt.Check(t, receipt(entries[1], "b").code(), qt.Equals, string(carawayspread.CodeKeyReused))
 	checkReceipts(t, service, 1)
 }
 
-// The caller learns that the outcome is unknown, and learns the same from every
-// entry that it asks again. The sidecar is killed, or paused, while the receipt
-// runs behind it; nobody can prove whether it ran, so nobody runs it again.
+// Guards against a receipt of unknown outcome that runs again. The sidecar is killed or paused while
+// the receipt runs at its endpoint. No process can prove whether it ran, so none runs it again, and
+// every entry answers that the outcome is unknown.
 func TestLostReceiptIsUnknown(t *testing.T) {
 	for name, signal := range map[string]syscall.Signal{"killed": syscall.SIGKILL, "paused": syscall.SIGSTOP} {
 		t.Run(name, func(t *testing.T) {
@@ -85,9 +85,9 @@
 	}
 }
 
-// The caller's entry is killed, or paused, while the receipt runs, and the
-// caller asks again through another. The claim is the first entry's: the
-// second neither runs the receipt nor says that it has not run.
+// Guards against a receipt that runs twice because its entry is killed or paused while it runs, and
+// the caller retries through another entry. The first entry holds the claim: the second one neither
+// runs the receipt nor claims that it has not run.
 func TestClaimOfLostEntryIsKept(t *testing.T) {
 	for name, signal := range map[string]syscall.Signal{"killed": syscall.SIGKILL, "paused": syscall.SIGSTOP} {
 		t.Run(name, func(t *testing.T) {
@@ -95,19 +95,18 @@
 			go func() { receipt(entries[0], "a") }()
 			f.issued(service)
 			entries[0].signal(signal)
-			again := receipt(entries[1], "a")
-			qt.Check(t, again.code(), qt.Equals, string(carawayspread.CodeInProgress), qt.Commentf("%s", again.body))
-			qt.Check(t, again.header.Get("Retry-After"), qt.Not(qt.Equals), "")
-			qt.Check(t, again.notRun(), qt.IsFalse)
+			second := receipt(entries[1], "a")
+			qt.Check(t, second.code(), qt.Equals, string(carawayspread.CodeInProgress), qt.Commentf("%s", second.body))
+			qt.Check(t, second.header.Get("Retry-After"), qt.Not(qt.Equals), "")
+			qt.Check(t, second.notRun(), qt.IsFalse)
 			checkReceipts(t, service, 1)
 		})
 	}
 }
 
-// The table loses the answer to the claim after the claim was written. The
-// entry reads its own token back and runs the receipt; without the read-back
-// the caller would be refused for ever, each retry finding a claim that nobody
-// runs.
+// Guards against a claim that is written although its answer is lost. The entry reads its own token
+// back and runs the receipt. Without the read-back every retry would find a claim that no process
+// executes, and the caller would be refused forever.
 func TestClaimWhoseAnswerIsLost(t *testing.T) {
 	f, service, entries := onceFleet(t)
 	f.table.LoseAnswers(1)
@@ -117,8 +116,8 @@
 	checkReceipts(t, service, 1)
 }
 
-// While the table is down a receipt is refused at once with when to come back,
-// lookups are served, and after the outage the same key runs once.
+// Guards against a receipt that runs without a record while the table is down: it is refused at once
+// with a Retry-After, lookups are served, and after the outage the same key runs once.
 func TestReceiptDuringOutage(t *testing.T) {
 	f, service, entries := onceFleet(t)
 	f.table.SetDown(true)
--- a/cmd/carawayspread/roles_test.go
+++ b/cmd/carawayspread/roles_test.go
@@ -14,10 +14,9 @@
 	"carawayspread/internal/standin/engine"
 )
 
-// Callers see every answer whole while engines change their roles.
-// Long prompts with short answers arrive through the entry that plans; its
-// plan goes through the table to the sidecars, and each empties its engine
-// before it orders the change, once, under its lease.
+// Guards against answers that are interrupted by planned role changes. Long prompts with short
+// answers arrive through the entry that plans. Sidecars read its plan from the table, and each drains
+// its engine before it orders the change, once, under its lease.
 func TestPlannedRoleChange(t *testing.T) {
 	f := newFleet(t)
 	engines := []*engine.Engine{}
@@ -30,12 +29,12 @@
 	entry := f.entry("entry-1")
 	var running sync.WaitGroup
 	var done atomic.Bool
-	var cut atomic.Pointer[answer]
+	var interrupted atomic.Pointer[answer]
 	for caller := range 6 {
 		running.Go(func() {
 			for i := 0; !done.Load(); i++ {
-				if got := stream(entry, fmt.Sprintf("register %d %d %4000d", caller, i, 0), 10, nil); !got.whole() {
-					cut.Store(&got)
+				if got := stream(entry, fmt.Sprintf("register %d %d %4000d", caller, i, 0), 10, nil); !got.complete() {
+					interrupted.Store(&got)
 				}
 			}
 		})
@@ -45,7 +44,7 @@
 	})
 	done.Store(true)
 	running.Wait()
-	if got := cut.Load(); got != nil {
+	if got := interrupted.Load(); got != nil {
 		t.Errorf("%v %s\n%s", got.err, got.body, entry.logged())
 	}
 	for _, e := range engines {
--- a/cmd/carawayspread/session_test.go
+++ b/cmd/carawayspread/session_test.go
@@ -14,14 +14,14 @@
 	"carawayspread/internal/standin/plain"
 )
 
-// session is the transcript of what callers and operators send and receive.
-// `go test ./cmd/carawayspread -run Sessions -update` records it anew.
+// session is a transcript of what callers and operators send and receive.
+// `go test ./cmd/carawayspread -run Sessions -update` rewrites the golden files.
 type session struct {
 	*fleet
 	text strings.Builder
 }
 
-// What differs from run to run.
+// volatile lists what differs between runs, with what replaces it in the transcript.
 var volatile = []struct {
 	pattern *regexp.Regexp
 	name    string
@@ -34,17 +34,17 @@
 	{regexp.MustCompile(`("evidenceAgeMs": ?)\d+`), "${1}<ms>"},
 }
 
-// shown are the headers of an answer that callers act on.
-var shown = []string{"Content-Type", "Retry-After", "X-Should-Retry", "Idempotent-Replayed"}
+// shownHeaders are the headers of an answer that callers act on.
+var shownHeaders = []string{"Content-Type", "Retry-After", "X-Should-Retry", "Idempotent-Replayed"}
 
 func (s *session) note(format string, args ...any) { fmt.Fprintf(&s.text, format+"\n", args...) }
 
-// caller sends a request and notes both sides.
+// caller sends a request and writes it and the answer to the transcript.
 func (s *session) caller(p *process, method, path, class, body string, onByte func(), header ...string) answer {
 	s.note("> %s %s via %s, X-Class: %s %s\n> %s\n", method, path, p.row.ID, class, strings.Join(header, ": "), body)
 	got := call(p, method, path, class, body, onByte, header...)
 	s.note("< %d", got.status)
-	for _, name := range shown {
+	for _, name := range shownHeaders {
 		if value := got.header.Get(name); value != "" {
 			s.note("< %s: %s", name, value)
 		}
@@ -53,7 +53,7 @@
 	return got
 }
 
-// operator runs a command and notes its output.
+// operator runs a command and writes it and its output to the transcript.
 func (s *session) operator(p *process, args ...string) {
 	s.note("$ carawayspread %s", strings.Join(args, " "))
 	out, _ := exec.Command(binary, append(args, "--server", "http://"+p.admin, "--actor", "ana")...).CombinedOutput()
--- a/cmd/carawayspread/work_test.go
+++ b/cmd/carawayspread/work_test.go
@@ -15,42 +15,42 @@
 	"carawayspread/internal/standin/engine"
 )
 
-// BenchmarkWork measures what requests and token events cost entry and sidecar
-// in processor time, and a running stream in memory.
+// BenchmarkWork measures the processor time that requests and token events take in entry and sidecar,
+// and the memory that a running stream takes.
 func BenchmarkWork(b *testing.B) {
-	const requests, streams, tokens, held, engines = 2000, 20, 2000, 200, 25
+	const requests, streams, tokens, runningStreams, engines = 2000, 20, 2000, 200, 25
 	f := newFleet(b)
 	quick := engine.New(engine.ChecksFence())
 	slow := engine.New(engine.ChecksFence(), engine.TokenEvery(gap), engine.Slots(256))
 	processes := map[string]*process{"sidecar": f.sidecar("sidecar-1", model("engine-1", quick))}
 	processes["entry"] = f.entry("entry-1")
 	entry := processes["entry"]
-	f.run(b, entry, 200, 1) // connections and buffers are there
+	f.runStreams(b, entry, 200, 1) // opens connections and allocates buffers
 	for b.Loop() {
 		before := usages(processes)
-		f.run(b, entry, requests, 1)
+		f.runStreams(b, entry, requests, 1)
 		for name, p := range processes {
 			b.ReportMetric(perUnit(before[name], p.usage(), requests), name+"-µs/request")
 		}
 		before = usages(processes)
-		f.run(b, entry, streams, tokens)
+		f.runStreams(b, entry, streams, tokens)
 		for name, p := range processes {
 			b.ReportMetric(perUnit(before[name], p.usage(), streams*tokens), name+"-µs/token")
 		}
 	}
 	processes["sidecar"].kill()
 	f.list.Remove("sidecar-1")
-	beside := []endpoint{}
+	endpoints := []endpoint{}
 	for i := range engines {
-		beside = append(beside, model(fmt.Sprint("slow-", i), slow))
+		endpoints = append(endpoints, model(fmt.Sprint("slow-", i), slow))
 	}
-	processes["sidecar"] = f.sidecar("sidecar-2", beside...)
-	time.Sleep(settle)
+	processes["sidecar"] = f.sidecar("sidecar-2", endpoints...)
+	time.Sleep(settleTime)
 	idle := usages(processes)
-	running := f.hold(entry, held, int(3*settle/gap))
-	time.Sleep(settle)
+	running := f.startStreams(entry, runningStreams, int(3*settleTime/gap))
+	time.Sleep(settleTime)
 	before, began := usages(processes), time.Now()
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	atOnce := slow.Running()
 	qt.Assert(b, atOnce > 0, qt.IsTrue)
 	sent := atOnce * int(time.Since(began)/gap)
@@ -63,17 +63,17 @@
 	running.Wait()
 }
 
-// run has n streams answered, sixteen at once.
-func (f *fleet) run(b *testing.B, entry *process, n, tokens int) {
+// runStreams runs n streams, sixteen at a time, and waits for all of them.
+func (f *fleet) runStreams(b *testing.B, entry *process, n, tokens int) {
 	const atOnce = 16
-	places := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, atOnce)
 	var running sync.WaitGroup
 	for i := range n {
-		places <- struct{}{}
+		slots <- struct{}{}
 		running.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			got := stream(entry, fmt.Sprint("vereda ", i), tokens, nil)
-			if got.status != http.StatusOK || !got.whole() {
+			if got.status != http.StatusOK || !got.complete() {
 				b.Error(got.status, got.code(), got.err)
 			}
 		})
@@ -81,8 +81,8 @@
 	running.Wait()
 }
 
-// hold starts n streams; the returned group ends with them.
-func (f *fleet) hold(entry *process, n, tokens int) *sync.WaitGroup {
+// startStreams starts n streams. The returned group is done when all have ended.
+func (f *fleet) startStreams(entry *process, n, tokens int) *sync.WaitGroup {
 	running := &sync.WaitGroup{}
 	for i := range n {
 		running.Go(func() { _ = stream(entry, fmt.Sprint("parcel ", i), tokens, nil) })
@@ -102,11 +102,11 @@
 	return float64((after.cpu - before.cpu).Microseconds()) / float64(n)
 }
 
-// BenchmarkManyDaemons runs 100 daemons, and reports what they ask of the table
-// at their start, in quiet and after an outage, and when a change is in force.
+// BenchmarkManyDaemons runs 100 daemons and reports how many requests they send to the table at their
+// start, when idle and after an outage, and how long it takes until a change is in force.
 func BenchmarkManyDaemons(b *testing.B) {
 	const sidecars, entries, daemons = 95, 5, 100
-	const quiet, outage = 10 * time.Second, 6 * time.Second
+	const idle, outage = 10 * time.Second, 6 * time.Second
 	f := newFleet(b)
 	e := engine.New(engine.ChecksFence())
 	before, began := f.table.Reads(), time.Now()
@@ -119,11 +119,11 @@
 	}
 	started := time.Since(began)
 	f.awaitVersion(all, f.config.Version())
-	reading, readsAtStart := time.Since(began), f.table.Reads()-before
+	readTime, readsAtStart := time.Since(began), f.table.Reads()-before
 	for b.Loop() {
 		reads, writes, lists := f.table.Reads(), f.table.Writes(), f.list.Reads()
-		time.Sleep(quiet)
-		perHour := float64(time.Hour/quiet) / daemons
+		time.Sleep(idle)
+		perHour := float64(time.Hour/idle) / daemons
 		b.ReportMetric(float64(f.table.Reads()-reads)*perHour, "reads/daemon-hour")
 		b.ReportMetric(float64(f.table.Writes()-writes)*perHour, "writes/daemon-hour")
 		b.ReportMetric(float64(f.list.Reads()-lists)*perHour, "lists/daemon-hour")
@@ -136,13 +136,13 @@
 		f.table.SetDown(true)
 		time.Sleep(outage)
 		f.table.SetDown(false)
-		most, last := uint64(0), f.table.Reads()+f.table.Writes()
+		peak, last := uint64(0), f.table.Reads()+f.table.Writes()
 		for range 6 {
 			time.Sleep(time.Second)
 			now := f.table.Reads() + f.table.Writes()
-			most, last = max(most, now-last), now
+			peak, last = max(peak, now-last), now
 		}
-		b.ReportMetric(float64(most), "most-requests/s-after-outage")
+		b.ReportMetric(float64(peak), "most-requests/s-after-outage")
 	}
 	resident := int64(0)
 	for _, p := range all {
@@ -150,28 +150,28 @@
 	}
 	b.ReportMetric(float64(resident)/daemons/(1<<20), "resident-MB")
 	b.ReportMetric(started.Seconds(), "start-s")
-	b.ReportMetric(float64(readsAtStart)/reading.Seconds(), "reads/s-while-starting")
+	b.ReportMetric(float64(readsAtStart)/readTime.Seconds(), "reads/s-while-starting")
 }
 
-// awaitVersion returns how long it takes until all processes hold the version.
-// Its questions name none, so that they are no hint.
+// awaitVersion returns how long it takes until all processes hold the version. Its status requests
+// carry no version, so that processes do not learn of the newer one from them.
 func (f *fleet) awaitVersion(all []*process, version carawayspread.Version) time.Duration {
 	began := time.Now()
 	for _, p := range all {
-		asked := p.control()
-		f.eventually(func() bool { return asked.holds(version) })
+		client := p.control()
+		f.eventually(func() bool { return client.holds(version) })
 	}
 	return time.Since(began)
 }
 
-// asked is the control service of a process.
-type asked struct{ control.Control }
+// controlClient is a client of the control service of a process.
+type controlClient struct{ control.Control }
 
-func (p *process) control() asked {
-	return asked{control.NewControlProtobufClient("http://"+p.row.Control, http.DefaultClient)}
+func (p *process) control() controlClient {
+	return controlClient{control.NewControlProtobufClient("http://"+p.row.Control, http.DefaultClient)}
 }
 
-func (a asked) holds(version carawayspread.Version) bool {
-	answer, err := a.Status(context.Background(), &control.StatusRequest{})
+func (c controlClient) holds(version carawayspread.Version) bool {
+	answer, err := c.Status(context.Background(), &control.StatusRequest{})
 	return err == nil && carawayspread.Version(answer.GetConfigVersion()) >= version
 }
