--- a/cmd/gateway/configuration_test.go
+++ b/cmd/gateway/configuration_test.go
@@ -67,7 +67,7 @@
 	r.routing = t
 }
 
-func (r *recordingSink) Listed(all []carawayspread.Endpoint) {
+func (r *recordingSink) SetEndpoints(all []carawayspread.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.endpoints = len(all)
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -64,14 +64,14 @@
 	debug.SetMemoryLimit(int64(memoryLimitRatio * float64(s.Memory())))
 	clock, transport := carawayspread.SystemClock(), direct.New()
 	storeTime := storetime.New(uptime.Clock{})
-	store := rows.New(transport, s.Store(), rows.WithClock(uptime.Clock{}, storeTime.Observe), rows.WithLog(log.Log))
+	store := rows.New(transport, s.Store(), rows.WithClockObserver(uptime.Clock{}, storeTime.Observe), rows.WithLog(log.Log))
 	var usage carawayspread.UsageSink
 	if u := s.Usage(); u != nil {
 		usage = cloud.New(transport, u.Address(), s.ID())
 	}
 	d, err := gatewayd.New(s, clock, log.Log, os.Stdout, gatewayd.Ports{
-		Exchange: transport,
-		Protocol: wire.Protocol{},
+		Transport: transport,
+		Protocol:  wire.Protocol{},
 		Source: func(sink *gatewayd.Daemon) follower.Source {
 			return catalog.New(store, sink, log.Log)
 		},
@@ -85,7 +85,7 @@
 		return err
 	}
 	stdlog.SetFlags(0)
-	stdlog.SetOutput(d.Library())
+	stdlog.SetOutput(d.LibraryWriter())
 	go reportReloads(c.Context, c.String("config"), s)
 	return d.Run(c.Context)
 }
