--- a/cmd/carawayspread/orders_test.go
+++ b/cmd/carawayspread/orders_test.go
@@ -120,7 +120,7 @@
 func TestSidecarKilledDuringRoleChange(t *testing.T) {
 	t.Parallel()
 	finish := make(chan struct{})
-	e := engine.New(engine.ChecksFence(), engine.ChangeEnds(finish))
+	e := engine.New(engine.ChecksFence(), engine.RoleChangeUntil(finish))
 	o := newOrderFleet(t, e, true)
 	first := o.sidecar()
 	o.planRole(carawayspread.RoleDecode)
--- a/cmd/gateway/alone_test.go
+++ b/cmd/gateway/alone_test.go
@@ -55,14 +55,14 @@
 	f.list(staying, "plain", "", "ready", 1)
 	f.list(w, "plain", "", "draining", 2)
 	time.Sleep(4 * time.Second) // both have the list by now, one after the other
-	before := len(w.Seen())
+	before := len(w.Requests())
 	for i := range 8 {
 		resp, _, err := late.send("POST", "/order/x", fmt.Sprint("id-late-", i), fmt.Sprint("body ", i))
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, resp.StatusCode, qt.Equals, 200)
 	}
-	qt.Check(t, len(w.Seen()), qt.Equals, before)
-	qt.Check(t, staying.Ran(), qt.Equals, 8)
+	qt.Check(t, len(w.Requests()), qt.Equals, before)
+	qt.Check(t, staying.Runs(), qt.Equals, 8)
 }
 
 // Guards against a connection that is closed without an answer at shutdown. The request arrives
@@ -92,7 +92,7 @@
 	f := newFleet(t)
 	script := make([]worker.Behaviour, 40)
 	for i := range script {
-		script[i] = worker.Extra
+		script[i] = worker.ExtraAnswer
 	}
 	w := startWorker(t, "w", script...)
 	f.list(w, "plain", "", "ready", 1)
@@ -106,7 +106,7 @@
 			qt.Check(t, body, qt.Equals, "w answers "+id)
 		}
 	}
-	qt.Check(t, w.Ran() > 20, qt.IsTrue)
+	qt.Check(t, w.Runs() > 20, qt.IsTrue)
 }
 
 // Guards against a request that fails because the engine chosen for its prefill has just changed
@@ -123,8 +123,8 @@
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, resp.StatusCode, qt.Equals, 200)
 	qt.Check(t, strings.Count(body, "data: part"), qt.Equals, worker.Events)
-	qt.Check(t, decodeEngine.Ran(), qt.Equals, 1)
-	qt.Check(t, len(changed.Seen()), qt.Equals, 1)
+	qt.Check(t, decodeEngine.Runs(), qt.Equals, 1)
+	qt.Check(t, len(changed.Requests()), qt.Equals, 1)
 }
 
 // coldStartBound bounds the time from the start of a process to its first answer, with a store that
--- a/cmd/gateway/gateway_test.go
+++ b/cmd/gateway/gateway_test.go
@@ -72,7 +72,7 @@
 }
 
 func (f *fleet) list(w *worker.Worker, service, stage, state string, seq int) {
-	_ = f.store.List(w.ID(), rows.Server{
+	_ = f.store.PutServer(w.ID(), rows.Server{
 		Service: service, Address: w.Address(), Zone: "z", Slots: 8, State: state, Stage: stage, Seq: seq,
 	})
 }
@@ -176,7 +176,7 @@
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, resp.StatusCode, qt.Equals, 200)
 	qt.Check(t, body, qt.Equals, "w-plain answers id-1")
-	seen := plain.Seen()
+	seen := plain.Requests()
 	qt.Assert(t, seen, qt.HasLen, 1)
 	qt.Check(t, seen[0].Target, qt.Equals, "/order/a%2Fb//c?x=1&y")
 	qt.Check(t, seen[0].Host, qt.Equals, "a.example")
@@ -190,9 +190,9 @@
 	qt.Check(t, resp.StatusCode, qt.Equals, 200)
 	qt.Check(t, resp.Header.Get("Carawayspread-Server-Seal"), qt.Equals, "w-answerer.id-2")
 	qt.Check(t, strings.Count(body, "data: part"), qt.Equals, worker.Events)
-	qt.Check(t, prefillEngine.Ran(), qt.Equals, 0)
-	qt.Check(t, decodeEngine.Ran(), qt.Equals, 1)
-	qt.Check(t, decodeEngine.Seen()[0].Header.Get("Carawayspread-Kv-Source"), qt.Equals, prefillEngine.Address()+"/h-id-2")
+	qt.Check(t, prefillEngine.Runs(), qt.Equals, 0)
+	qt.Check(t, decodeEngine.Runs(), qt.Equals, 1)
+	qt.Check(t, decodeEngine.Requests()[0].Header.Get("Carawayspread-Kv-Source"), qt.Equals, prefillEngine.Address()+"/h-id-2")
 	waitUntil(t, func() bool { return strings.Contains(f.out.String(), "id=id-2 ") })
 }
 
@@ -202,7 +202,7 @@
 func TestRequestsBeforeTheFirstRoutesMayBeRetried(t *testing.T) {
 	f := newFleet(t)
 	f.list(startWorker(t, "w"), "plain", "", "ready", 1)
-	f.store.Answer(http.StatusServiceUnavailable)
+	f.store.FailWith(http.StatusServiceUnavailable)
 	f.start(t)
 	var resp *http.Response
 	waitUntil(t, func() bool {
@@ -213,7 +213,7 @@
 	qt.Check(t, resp.StatusCode, qt.Equals, 503)
 	qt.Check(t, resp.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
 	qt.Check(t, f.daemon.Ready(), qt.IsFalse)
-	f.store.Answer(0)
+	f.store.FailWith(0)
 	f.waitReady(t)
 	resp, _, err := f.send("GET", "/lookup/x", "id-2", "")
 	qt.Assert(t, err, qt.IsNil)
@@ -255,14 +255,14 @@
 	time.Sleep(1200 * time.Millisecond) // two reads of the list
 	f.list(draining, "plain", "", "ready", 7)
 	time.Sleep(1200 * time.Millisecond)
-	before := len(draining.Seen())
+	before := len(draining.Requests())
 	for i := range 20 {
 		resp, _, err := f.send("POST", "/order/x", fmt.Sprint("id-", i), fmt.Sprint("body ", i))
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, resp.StatusCode, qt.Equals, 200)
 	}
-	qt.Check(t, len(draining.Seen()), qt.Equals, before)
-	qt.Check(t, staying.Ran(), qt.Equals, 20)
+	qt.Check(t, len(draining.Requests()), qt.Equals, before)
+	qt.Check(t, staying.Runs(), qt.Equals, 20)
 }
 
 // Guards against a request that is accepted during shutdown and not answered in full. Requests
@@ -387,11 +387,11 @@
 	qt.Check(t, resp.StatusCode, qt.Equals, 200)
 	qt.Check(t, strings.Count(body, "data: part"), qt.Equals, worker.Events)
 	qt.Check(t, time.Since(begun) < 2*time.Second, qt.IsTrue)
-	waitUntil(t, func() bool { return prefillEngine.Gone() == 1 })
+	waitUntil(t, func() bool { return prefillEngine.CallerDisconnects() == 1 })
 	for i := range 12 {
 		resp, _, err := f.send("GET", fmt.Sprint("/lookup/", i), fmt.Sprint("id-", i), "")
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, resp.StatusCode, qt.Equals, 200)
 	}
-	qt.Check(t, stalled.Ran() > 1, qt.IsTrue)
+	qt.Check(t, stalled.Runs() > 1, qt.IsTrue)
 }
--- a/cmd/gateway/keys_test.go
+++ b/cmd/gateway/keys_test.go
@@ -62,7 +62,7 @@
 	}
 	arrived := 0
 	for _, w := range []*worker.Worker{plain, prefillEngine, decodeEngine} {
-		for _, s := range w.Seen() {
+		for _, s := range w.Requests() {
 			arrived++
 			qt.Check(t, s.Header.Values(tenantHeader), qt.DeepEquals, []string{"w1"})
 			qt.Check(t, s.Header.Values(authorizationHeader), qt.HasLen, 0)
@@ -96,7 +96,7 @@
 			qt.Check(t, strings.Contains(body, `"code":"unauthenticated"`), qt.IsTrue)
 		})
 	}
-	qt.Check(t, w.Seen(), qt.HasLen, 0)
+	qt.Check(t, w.Requests(), qt.HasLen, 0)
 }
 
 // Guards against a final refusal of a key that was added a moment before: the store is read first.
@@ -106,7 +106,7 @@
 	f.list(startWorker(t, "w"), "plain", "", "ready", 1)
 	f.start(t)
 	f.waitReady(t)
-	f.store.Hush(true) // calls that wait for changes return none
+	f.store.SuppressChanges(true) // calls that wait for changes return none
 	f.publishKeys(t, 3, map[string][]string{"w1": {"k1", "k2"}})
 	qt.Check(t, f.sendWithKey(t, "id-1", "k2"), qt.Equals, 200)
 	f.publishKeys(t, 4, map[string][]string{"w1": {"k1", "k2", "k3"}})
@@ -128,22 +128,22 @@
 	f.list(w, "plain", "", "ready", 1)
 	f.start(t)
 	f.waitReady(t)
-	f.store.Answer(503)
+	f.store.FailWith(503)
 	outageStart := time.Now()
 	for i := 0; time.Since(outageStart) < revocationBound/2; i++ {
 		qt.Check(t, f.sendWithKey(t, fmt.Sprint("early-", i), "k1"), qt.Equals, 200)
 		time.Sleep(50 * time.Millisecond)
 	}
 	time.Sleep(time.Until(outageStart.Add(revocationBound)))
-	ran := w.Ran()
+	ran := w.Runs()
 	resp, body, err := f.send("POST", "/order/x", "late", "", authorizationHeader, "Bearer k1")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, resp.StatusCode, qt.Equals, 503)
 	qt.Check(t, strings.Contains(body, `"notRun":true`), qt.IsTrue)
 	qt.Check(t, resp.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
-	qt.Check(t, w.Ran(), qt.Equals, ran)
+	qt.Check(t, w.Runs(), qt.Equals, ran)
 	qt.Check(t, f.daemon.Ready(), qt.IsFalse)
-	f.store.Answer(0)
+	f.store.FailWith(0)
 	f.waitReady(t)
 	qt.Check(t, f.sendWithKey(t, "back", "k1"), qt.Equals, 200)
 	f.publishKeys(t, 3, map[string][]string{"w1": {}})
