--- a/cmd/gateway/alone_test.go
+++ b/cmd/gateway/alone_test.go
@@ -36,7 +36,7 @@
 func TestGatewayStartsWithoutTheStore(t *testing.T) {
 	f := newFleet(t)
 	w := startWorker(t, "w")
-	f.list(w, "plain", "", "ready", 1)
+	f.putServer(w, "plain", "", "ready", 1)
 	f.start(t)
 	f.waitReady(t)
 	late := f.secondGateway(t, "127.0.0.1:1")
@@ -52,8 +52,8 @@
 	f.publishRoutes(7, "model")
 	waitUntil(t, func() bool { return strings.Contains(late.out.String(), "version=7") })
 	staying := startWorker(t, "w-stays")
-	f.list(staying, "plain", "", "ready", 1)
-	f.list(w, "plain", "", "draining", 2)
+	f.putServer(staying, "plain", "", "ready", 1)
+	f.putServer(w, "plain", "", "draining", 2)
 	time.Sleep(4 * time.Second) // both have the list by now, one after the other
 	before := len(w.Requests())
 	for i := range 8 {
@@ -69,7 +69,7 @@
 // after the process has found none running and is about to end.
 func TestRequestAtShutdownIsAnswered(t *testing.T) {
 	f := newFleet(t)
-	f.list(startWorker(t, "w"), "plain", "", "ready", 1)
+	f.putServer(startWorker(t, "w"), "plain", "", "ready", 1)
 	f.start(t)
 	f.waitReady(t)
 	conn, err := net.Dial("tcp", f.daemon.CallerAddress())
@@ -95,7 +95,7 @@
 		script[i] = worker.ExtraAnswer
 	}
 	w := startWorker(t, "w", script...)
-	f.list(w, "plain", "", "ready", 1)
+	f.putServer(w, "plain", "", "ready", 1)
 	f.start(t)
 	f.waitReady(t)
 	for i := range 40 {
@@ -115,8 +115,8 @@
 func TestPrefillEngineThatChangedItsRoleIsReplaced(t *testing.T) {
 	f := newFleet(t)
 	changed, decodeEngine := startWorker(t, "w-changed", worker.Misdirected, worker.Misdirected), startWorker(t, "w-answerer")
-	f.list(changed, "model", "prefill", "ready", 1)
-	f.list(decodeEngine, "model", "decode", "ready", 1)
+	f.putServer(changed, "model", "prefill", "ready", 1)
+	f.putServer(decodeEngine, "model", "decode", "ready", 1)
 	f.start(t)
 	f.waitReady(t)
 	resp, body, err := f.send("POST", "/stream/x", "id-1", "p", tokenCountHeader, "9000,100")
@@ -135,7 +135,7 @@
 // reads routes and endpoints from the store and serves within seconds.
 func TestColdStartServesInTime(t *testing.T) {
 	f := newFleet(t)
-	f.list(startWorker(t, "w"), "plain", "", "ready", 1)
+	f.putServer(startWorker(t, "w"), "plain", "", "ready", 1)
 	for range 3 {
 		begun := time.Now()
 		f.start(t)
--- a/cmd/gateway/bench_test.go
+++ b/cmd/gateway/bench_test.go
@@ -24,7 +24,7 @@
 			address := w.Address()
 			if path == "gateway" {
 				f := newFleet(b)
-				f.list(w, "plain", "", "ready", 1)
+				f.putServer(w, "plain", "", "ready", 1)
 				f.start(b)
 				for !f.daemon.Ready() {
 					time.Sleep(time.Millisecond)
--- a/cmd/gateway/gateway_test.go
+++ b/cmd/gateway/gateway_test.go
@@ -71,7 +71,7 @@
 	return w
 }
 
-func (f *fleet) list(w *worker.Worker, service, stage, state string, seq int) {
+func (f *fleet) putServer(w *worker.Worker, service, stage, state string, seq int) {
 	_ = f.store.PutServer(w.ID(), rows.Server{
 		Service: service, Address: w.Address(), Zone: "z", Slots: 8, State: state, Stage: stage, Seq: seq,
 	})
@@ -166,9 +166,9 @@
 	f := newFleet(t)
 	plain := startWorker(t, "w-plain")
 	prefillEngine, decodeEngine := startWorker(t, "w-reader"), startWorker(t, "w-answerer")
-	f.list(plain, "plain", "", "ready", 1)
-	f.list(prefillEngine, "model", "prefill", "ready", 1)
-	f.list(decodeEngine, "model", "decode", "ready", 1)
+	f.putServer(plain, "plain", "", "ready", 1)
+	f.putServer(prefillEngine, "model", "prefill", "ready", 1)
+	f.putServer(decodeEngine, "model", "decode", "ready", 1)
 	f.start(t)
 	f.waitReady(t)
 
@@ -201,7 +201,7 @@
 // are served as soon as the store is up.
 func TestRequestsBeforeTheFirstRoutesMayBeRetried(t *testing.T) {
 	f := newFleet(t)
-	f.list(startWorker(t, "w"), "plain", "", "ready", 1)
+	f.putServer(startWorker(t, "w"), "plain", "", "ready", 1)
 	f.store.FailWith(http.StatusServiceUnavailable)
 	f.start(t)
 	var resp *http.Response
@@ -225,7 +225,7 @@
 // and ignores an older version.
 func TestRoutesNeverRevert(t *testing.T) {
 	f := newFleet(t)
-	f.list(startWorker(t, "w"), "plain", "", "ready", 1)
+	f.putServer(startWorker(t, "w"), "plain", "", "ready", 1)
 	f.start(t)
 	f.waitReady(t)
 	f.store.Compact()
@@ -243,17 +243,17 @@
 func TestDrainingWorkerGetsNoRequests(t *testing.T) {
 	f := newFleet(t)
 	staying, draining := startWorker(t, "w-stays"), startWorker(t, "w-leaves")
-	f.list(draining, "plain", "", "ready", 7)
+	f.putServer(draining, "plain", "", "ready", 7)
 	f.store.Put("servers", "broken", []byte(`{"service":"plain","address":"nowhere","seq":1}`))
 	f.store.Put("servers", "torn", []byte(`{"service":"pl`))
 	f.start(t)
 	f.waitReady(t)
 	_, _, err := f.send("POST", "/order/x", "first", "") // the gateway learns that the worker is fast
 	qt.Assert(t, err, qt.IsNil)
-	f.list(staying, "plain", "", "ready", 1)
-	f.list(draining, "plain", "", "draining", 8)
+	f.putServer(staying, "plain", "", "ready", 1)
+	f.putServer(draining, "plain", "", "draining", 8)
 	time.Sleep(1200 * time.Millisecond) // two reads of the list
-	f.list(draining, "plain", "", "ready", 7)
+	f.putServer(draining, "plain", "", "ready", 7)
 	time.Sleep(1200 * time.Millisecond)
 	before := len(draining.Requests())
 	for i := range 20 {
@@ -274,8 +274,8 @@
 	for i := range slow {
 		slow[i] = worker.SlowEvents
 	}
-	f.list(startWorker(t, "w", slow...), "model", "decode", "ready", 1)
-	f.list(startWorker(t, "w-holds", worker.Hang), "plain", "", "ready", 1)
+	f.putServer(startWorker(t, "w", slow...), "model", "decode", "ready", 1)
+	f.putServer(startWorker(t, "w-holds", worker.Hang), "plain", "", "ready", 1)
 	f.start(t)
 	f.waitReady(t)
 	f.stop()
@@ -336,7 +336,7 @@
 // next one elsewhere.
 func TestDrainingGatewayAnswersOnIdleConnections(t *testing.T) {
 	f := newFleet(t)
-	f.list(startWorker(t, "w"), "plain", "", "ready", 1)
+	f.putServer(startWorker(t, "w"), "plain", "", "ready", 1)
 	f.start(t)
 	f.waitReady(t)
 	conn, err := net.Dial("tcp", f.daemon.CallerAddress())
@@ -372,14 +372,14 @@
 	f := newFleet(t)
 	prefillEngine, decodeEngine := startWorker(t, "w-reader", worker.Hang), startWorker(t, "w-answerer")
 	stalled := startWorker(t, "w-holds", worker.Answer, worker.Hang, worker.Hang, worker.Hang, worker.Hang, worker.Hang, worker.Hang)
-	f.list(prefillEngine, "model", "prefill", "ready", 1)
-	f.list(decodeEngine, "model", "decode", "ready", 1)
-	f.list(stalled, "plain", "", "ready", 1)
+	f.putServer(prefillEngine, "model", "prefill", "ready", 1)
+	f.putServer(decodeEngine, "model", "decode", "ready", 1)
+	f.putServer(stalled, "plain", "", "ready", 1)
 	f.start(t)
 	f.waitReady(t)
 	_, _, err := f.send("GET", "/lookup/first", "id-0", "") // the gateway learns that the worker is fast
 	qt.Assert(t, err, qt.IsNil)
-	f.list(startWorker(t, "w-plain"), "plain", "", "ready", 1)
+	f.putServer(startWorker(t, "w-plain"), "plain", "", "ready", 1)
 	time.Sleep(1200 * time.Millisecond) // two reads of the list
 	begun := time.Now()
 	resp, body, err := f.send("POST", "/stream/x", "id-1", "p", tokenCountHeader, "9000,100")
--- a/cmd/gateway/grace_test.go
+++ b/cmd/gateway/grace_test.go
@@ -27,7 +27,7 @@
 		script[i] = worker.Hang
 	}
 	w := startWorker(t, "w", script...)
-	f.list(w, "model", "decode", "ready", 1)
+	f.putServer(w, "model", "decode", "ready", 1)
 	f.start(t)
 	f.waitReady(t)
 	type answer struct {
--- a/cmd/gateway/keys_test.go
+++ b/cmd/gateway/keys_test.go
@@ -49,9 +49,9 @@
 func TestEndpointsSeeTheWorkspaceAndNeverTheKey(t *testing.T) {
 	f := newFleetWithKeys(t, map[string][]string{"w1": {"k1"}})
 	plain, prefillEngine, decodeEngine := startWorker(t, "w-plain"), startWorker(t, "w-reader"), startWorker(t, "w-answerer")
-	f.list(plain, "plain", "", "ready", 1)
-	f.list(prefillEngine, "model", "prefill", "ready", 1)
-	f.list(decodeEngine, "model", "decode", "ready", 1)
+	f.putServer(plain, "plain", "", "ready", 1)
+	f.putServer(prefillEngine, "model", "prefill", "ready", 1)
+	f.putServer(decodeEngine, "model", "decode", "ready", 1)
 	f.start(t)
 	f.waitReady(t)
 	for path, id := range map[string]string{"/order/x": "id-1", "/lookup/x": "id-2", "/stream/x": "id-3"} {
@@ -77,7 +77,7 @@
 func TestRequestsWithoutAKeyDoNotRun(t *testing.T) {
 	f := newFleetWithKeys(t, map[string][]string{"w1": {"k1"}, "w2": {"k2", "both"}, "w3": {"both"}, "w4": {}})
 	w := startWorker(t, "w")
-	f.list(w, "plain", "", "ready", 1)
+	f.putServer(w, "plain", "", "ready", 1)
 	f.start(t)
 	f.waitReady(t)
 	for name, headers := range map[string][]string{
@@ -103,7 +103,7 @@
 // Guessed keys must not cause calls to the store without bound.
 func TestAddedKeyWorksAtOnce(t *testing.T) {
 	f := newFleetWithKeys(t, map[string][]string{"w1": {"k1"}})
-	f.list(startWorker(t, "w"), "plain", "", "ready", 1)
+	f.putServer(startWorker(t, "w"), "plain", "", "ready", 1)
 	f.start(t)
 	f.waitReady(t)
 	f.store.SuppressChanges(true) // calls that wait for changes return none
@@ -125,7 +125,7 @@
 func TestRevokedKeyStopsWithoutTheStore(t *testing.T) {
 	f := newFleetWithKeys(t, map[string][]string{"w1": {"k1"}})
 	w := startWorker(t, "w")
-	f.list(w, "plain", "", "ready", 1)
+	f.putServer(w, "plain", "", "ready", 1)
 	f.start(t)
 	f.waitReady(t)
 	f.store.FailWith(503)
--- a/cmd/gateway/reload_test.go
+++ b/cmd/gateway/reload_test.go
@@ -75,7 +75,7 @@
 // Guards against metrics that lack the settings of a process, or the age of its routes and endpoints.
 func TestMetricsNameTheSettings(t *testing.T) {
 	f := newFleet(t)
-	f.list(startWorker(t, "w"), "plain", "", "ready", 1)
+	f.putServer(startWorker(t, "w"), "plain", "", "ready", 1)
 	f.start(t)
 	f.waitReady(t)
 	resp, err := http.Get("http://" + f.daemon.MetricsAddress() + "/metrics")
--- a/cmd/gateway/restore_test.go
+++ b/cmd/gateway/restore_test.go
@@ -22,7 +22,7 @@
 func TestListIsFollowedAfterARestore(t *testing.T) {
 	f := newFleet(t)
 	first, second := startWorker(t, "w-first"), startWorker(t, "w-second")
-	f.list(first, "plain", "", "ready", 1)
+	f.putServer(first, "plain", "", "ready", 1)
 	backup := f.store.Copy()
 	f.putUnrelatedRows(200)
 	f.start(t)
@@ -37,8 +37,8 @@
 	qt.Check(t, send(), qt.Equals, 200)
 
 	f.store.Restore(backup)
-	f.list(first, "plain", "", "draining", 2)
-	f.list(second, "plain", "", "ready", 1)
+	f.putServer(first, "plain", "", "draining", 2)
+	f.putServer(second, "plain", "", "ready", 1)
 	time.Sleep(2 * time.Second) // promises.leaving of the settings
 	before := len(first.Requests())
 	for range 10 {
@@ -54,7 +54,7 @@
 	f := newFleet(t)
 	w := startWorker(t, "w-plain")
 	backup := f.store.Copy() // without the worker
-	f.list(w, "plain", "", "ready", 1)
+	f.putServer(w, "plain", "", "ready", 1)
 	f.putUnrelatedRows(20)
 	f.start(t)
 	f.waitReady(t)
@@ -67,7 +67,7 @@
 			served++
 		}
 		if n == 20 {
-			f.list(w, "plain", "", "ready", 2)
+			f.putServer(w, "plain", "", "ready", 2)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
--- a/cmd/gateway/roles_test.go
+++ b/cmd/gateway/roles_test.go
@@ -22,7 +22,7 @@
 	for i, stage := range []string{"prefill", "decode", "decode", "decode", "decode", "decode"} {
 		w := startWorker(t, fmt.Sprint("w-", i))
 		w.SetRole(stage, false)
-		f.list(w, "model", stage, "ready", 1)
+		f.putServer(w, "model", stage, "ready", 1)
 		workers = append(workers, w)
 	}
 	f.start(t)
