--- a/cmd/gateway/configuration_test.go
+++ b/cmd/gateway/configuration_test.go
@@ -121,7 +121,7 @@
 	link, err := relay.New(strings.TrimPrefix(server.URL, "http://"), carawayspread.SystemClock())
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(link.Close)
-	link.Narrow(linkBitsPerSecond)
+	link.LimitBandwidth(linkBitsPerSecond)
 	return link
 }
 
@@ -138,7 +138,7 @@
 	for p.sink.firstService() != want {
 		_ = p.learner.Pull(context.Background(), other.link.Address(), carawayspread.ResourceRoutes)
 		if p.sink.firstService() != want {
-			qt.Assert(t, time.Since(begun) < within, qt.IsTrue, qt.Commentf("not in force after %v, %d bytes", time.Since(begun), other.link.Answered()))
+			qt.Assert(t, time.Since(begun) < within, qt.IsTrue, qt.Commentf("not in force after %v, %d bytes", time.Since(begun), other.link.ResponseBytes()))
 		}
 	}
 }
@@ -155,7 +155,7 @@
 			from.learn(t, 9, configuration(9, routes, "other"))
 			to.pullUntil(t, from, "other", applyBound)
 			qt.Check(t, to.sink.routing.Version(), qt.Equals, carawayspread.Version(9))
-			qt.Check(t, from.link.Answered() < maxChangeBytes, qt.IsTrue, qt.Commentf("%d bytes", from.link.Answered()))
+			qt.Check(t, from.link.ResponseBytes() < maxChangeBytes, qt.IsTrue, qt.Commentf("%d bytes", from.link.ResponseBytes()))
 		})
 	}
 }
@@ -169,7 +169,7 @@
 	from.learn(t, 9, configuration(9, 2860, "other"))
 	to.pullUntil(t, from, "other", applyBound)
 	qt.Check(t, to.sink.routing.Len(), qt.Equals, 2860)
-	t.Logf("%d bytes", from.link.Answered())
+	t.Logf("%d bytes", from.link.ResponseBytes())
 }
 
 // transferBound bounds the time in which a process without a configuration receives the largest one
--- a/internal/soak/relay/relay.go
+++ b/internal/soak/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay stands between two programs on loopback and makes the way
-// between them fail as networks do.
+// Package relay forwards TCP connections between two programs on loopback and injects
+// network faults.
 package relay
 
 import (
@@ -14,43 +14,43 @@
 	"carawayspread"
 )
 
-// Fault is what the way does to what is sent over it.
+// Fault is a network fault.
 type Fault int32
 
-// Faults. The zero value passes everything on.
+// Faults. The zero value forwards everything.
 const (
 	None    Fault = iota
-	Delayed       // everything comes late
-	Silent        // connections stay open, and nothing comes through
-	OneWay        // what is sent arrives, what is answered does not
-	Refused       // new connections are reset, and so are open ones
+	Delayed       // everything arrives late
+	Silent        // connections stay open, and nothing arrives
+	OneWay        // requests arrive, responses don't
+	Refused       // new and open connections are reset
 )
 
 const (
-	// lateBy is a round trip between regions that are far apart.
-	lateBy = 150 * time.Millisecond
-	// faultPoll is short against every fault.
-	faultPoll = 10 * time.Millisecond
-	// blockSize holds a whole answer of the stand-ins, so that it comes at once.
-	blockSize   = 16 << 10
-	bitsOfAByte = 8
+	// addedDelay is a round trip between distant regions.
+	addedDelay = 150 * time.Millisecond
+	// faultPollInterval is short compared with every fault.
+	faultPollInterval = 10 * time.Millisecond
+	// bufferSize holds a complete answer of the stand-ins, so that it arrives at once.
+	bufferSize  = 16 << 10
+	bitsPerByte = 8
 )
 
-// Relay passes connections on to one address until it is closed.
+// Relay forwards connections to one address until it is closed.
 type Relay struct {
-	clock    carawayspread.Clock
-	listener net.Listener
-	target   string
-	fault    atomic.Int32
-	answered atomic.Int64
-
-	mu    sync.Mutex
-	conns map[net.Conn]bool
-	rate  float64   // bits a second of all answers; zero for no bound
-	free  time.Time // when the answers that were read are through
+	clock         carawayspread.Clock
+	listener      net.Listener
+	target        string
+	fault         atomic.Int32
+	responseBytes atomic.Int64
+
+	mu        sync.Mutex
+	conns     map[net.Conn]bool
+	bandwidth float64   // bits per second of all responses; zero is unbounded
+	freeAt    time.Time // when the responses read so far have been sent
 }
 
-// New opens a relay to an address.
+// New starts a relay to an address.
 func New(target string, clock carawayspread.Clock) (*Relay, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -61,36 +61,36 @@
 	return r, nil
 }
 
-// Address returns IP number and port.
+// Address returns the IP address and port of the relay.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Set has the way fail so from now on.
-func (r *Relay) Set(fault Fault) {
+// SetFault applies a fault to open and new connections from now on.
+func (r *Relay) SetFault(fault Fault) {
 	r.fault.Store(int32(fault))
 	if fault == Refused {
-		r.reset()
+		r.resetAll()
 	}
 }
 
-// Narrow bounds the bits a second of all answers together; zero ends the bound.
-func (r *Relay) Narrow(bits float64) {
+// LimitBandwidth bounds the bits per second of all responses together; zero removes the bound.
+func (r *Relay) LimitBandwidth(bits float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rate, r.free = bits, r.clock.Now()
+	r.bandwidth, r.freeAt = bits, r.clock.Now()
 }
 
-// Answered returns the bytes of answers that were passed on.
-func (r *Relay) Answered() int64 { return r.answered.Load() }
+// ResponseBytes returns how many bytes of responses were forwarded.
+func (r *Relay) ResponseBytes() int64 { return r.responseBytes.Load() }
 
-// Close ends the relay and its connections.
+// Close stops the relay and resets its connections.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
-	r.reset()
+	r.resetAll()
 }
 
-func (r *Relay) now() Fault { return Fault(r.fault.Load()) }
+func (r *Relay) currentFault() Fault { return Fault(r.fault.Load()) }
 
-func (r *Relay) reset() {
+func (r *Relay) resetAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for conn := range r.conns {
@@ -98,7 +98,7 @@
 	}
 }
 
-// reset closes a connection so that its peer sees that it was not ended.
+// reset closes a connection with a TCP reset, so that its peer sees no regular end.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -112,32 +112,32 @@
 		if err != nil {
 			return
 		}
-		if r.now() == Refused {
+		if r.currentFault() == Refused {
 			reset(conn)
 			continue
 		}
-		go r.carry(conn)
+		go r.forward(conn)
 	}
 }
 
-func (r *Relay) carry(conn net.Conn) {
-	far, err := net.Dial("tcp4", r.target)
+func (r *Relay) forward(conn net.Conn) {
+	upstream, err := net.Dial("tcp4", r.target)
 	if err != nil {
 		reset(conn)
 		return
 	}
-	r.hold(conn, far)
-	var both sync.WaitGroup
-	both.Go(func() { r.copy(far, conn, true) })
-	both.Go(func() { r.copy(conn, far, false) })
-	both.Wait()
+	r.track(conn, upstream)
+	var directions sync.WaitGroup
+	directions.Go(func() { r.copy(upstream, conn, true) })
+	directions.Go(func() { r.copy(conn, upstream, false) })
+	directions.Wait()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.conns, conn)
-	delete(r.conns, far)
+	delete(r.conns, upstream)
 }
 
-func (r *Relay) hold(conns ...net.Conn) {
+func (r *Relay) track(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, conn := range conns {
@@ -145,18 +145,18 @@
 	}
 }
 
-// copy passes on what one side sends, and its end.
-func (r *Relay) copy(to, from net.Conn, asks bool) {
-	block := make([]byte, blockSize)
+// copy forwards what one side sends, and its end of stream.
+func (r *Relay) copy(to, from net.Conn, isRequest bool) {
+	buffer := make([]byte, bufferSize)
 	for {
-		n, err := from.Read(block)
+		n, err := from.Read(buffer)
 		if n > 0 {
-			r.wait(asks)
-			if !asks {
-				r.queue(n)
-				r.answered.Add(int64(n))
+			r.applyFault(isRequest)
+			if !isRequest {
+				r.throttle(n)
+				r.responseBytes.Add(int64(n))
 			}
-			if _, failed := to.Write(block[:n]); failed != nil {
+			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
 				reset(from)
 				return
 			}
@@ -174,29 +174,29 @@
 	}
 }
 
-// wait returns when what was read may go on.
-func (r *Relay) wait(asks bool) {
-	if r.now() == Delayed {
-		<-r.clock.After(lateBy)
+// applyFault blocks while the current fault delays or withholds data.
+func (r *Relay) applyFault(isRequest bool) {
+	if r.currentFault() == Delayed {
+		<-r.clock.After(addedDelay)
 	}
-	for fault := r.now(); fault == Silent || fault == OneWay && !asks; fault = r.now() {
-		<-r.clock.After(faultPoll)
+	for fault := r.currentFault(); fault == Silent || fault == OneWay && !isRequest; fault = r.currentFault() {
+		<-r.clock.After(faultPollInterval)
 	}
 }
 
-// queue returns when that many bytes are through behind what came before.
-func (r *Relay) queue(n int) {
+// throttle blocks until the bandwidth allows n more bytes of responses.
+func (r *Relay) throttle(n int) {
 	r.mu.Lock()
-	if r.rate == 0 {
+	if r.bandwidth == 0 {
 		r.mu.Unlock()
 		return
 	}
 	now := r.clock.Now()
-	if r.free.Before(now) {
-		r.free = now
+	if r.freeAt.Before(now) {
+		r.freeAt = now
 	}
-	r.free = r.free.Add(time.Duration(float64(n) * bitsOfAByte / r.rate * float64(time.Second)))
-	wait := r.free.Sub(now)
+	r.freeAt = r.freeAt.Add(time.Duration(float64(n) * bitsPerByte / r.bandwidth * float64(time.Second)))
+	wait := r.freeAt.Sub(now)
 	r.mu.Unlock()
 	<-r.clock.After(wait)
 }
