--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -44,12 +44,12 @@
 }
 
 func run(c *cli.Context) error {
-	broken, draw := 0, schedule.Generate
+	broken, generate := 0, schedule.Generate
 	if c.Bool("stops") {
-		draw = schedule.GenerateStops
+		generate = schedule.GenerateStops
 	}
 	for n := range uint64(max(1, c.Int("runs"))) {
-		found, err := runSchedule(c.Context, c.App.Writer, c.String("gateway"), c.String("findings"), draw(c.Uint64("seed")+n, c.Duration("length")), c.Int("size"))
+		found, err := runSchedule(c.Context, c.App.Writer, c.String("gateway"), c.String("findings"), generate(c.Uint64("seed")+n, c.Duration("length")), c.Int("size"))
 		if err != nil {
 			return err
 		}
