--- a/internal/soak/schedule/schedule.go
+++ b/internal/soak/schedule/schedule.go
@@ -1,4 +1,4 @@
-// Package schedule draws from a seed which faults a soak injects, and when.
+// Package schedule generates from a seed which faults a soak injects, and when.
 package schedule
 
 import (
@@ -10,135 +10,141 @@
 	"time"
 )
 
-// Kind is what happens.
+// Kind is the kind of a fault.
 type Kind string
 
-// Kinds. Those of gateways come by signals, the others by the relays and stand-ins.
+// Kinds. Faults of gateways are injected by signals, the others by the relays and the
+// stand-ins.
 const (
-	Kill        Kind = "kill"        // SIGKILL, then a new process
-	KillAll     Kind = "killAll"     // of all gateways at once
-	Replace     Kind = "replace"     // SIGTERM, then a new process
-	Pause       Kind = "pause"       // SIGSTOP, then SIGCONT
-	Reload      Kind = "reload"      // SIGHUP
-	Delayed     Kind = "delayed"     // the way to a worker
-	Silent      Kind = "silent"      // the same
-	OneWay      Kind = "oneWay"      // the same
-	Refused     Kind = "refused"     // the same
-	StoreDown   Kind = "storeDown"   // it answers 503
-	StoreSilent Kind = "storeSilent" // the way to it
-	StoreForgot Kind = "storeForgot" // its history
-	Misbehave   Kind = "misbehave"   // a worker, for some requests
-	Drain       Kind = "drain"       // a worker leaves, and another comes
-	Routes      Kind = "routes"      // a newer version of the routes
-
-	Restore Kind = "restore" // the store comes back from a copy that is so old
-	Leaving Kind = "leaving" // a worker says in its answers alone that it leaves
-	Limited Kind = "limited" // a worker names in its answers a rate that it takes
-
-	Narrow Kind = "narrow" // the way to the store carries no more than that of a small instance
+	Kill        Kind = "kill"        // a gateway gets SIGKILL and is restarted
+	KillAll     Kind = "killAll"     // the same for all gateways at once
+	Replace     Kind = "replace"     // a gateway gets SIGTERM and is restarted
+	Pause       Kind = "pause"       // a gateway gets SIGSTOP, then SIGCONT
+	Reload      Kind = "reload"      // a gateway gets SIGHUP
+	Delayed     Kind = "delayed"     // connections to a worker, see relay.Delayed
+	Silent      Kind = "silent"      // the same, see relay.Silent
+	OneWay      Kind = "oneWay"      // the same, see relay.OneWay
+	Refused     Kind = "refused"     // the same, see relay.Refused
+	StoreDown   Kind = "storeDown"   // the store answers 503
+	StoreSilent Kind = "storeSilent" // the connections to the store, see relay.Silent
+	StoreForgot Kind = "storeForgot" // the store compacts its history
+	Misbehave   Kind = "misbehave"   // a worker answers some requests wrongly
+	Drain       Kind = "drain"       // a worker is listed as draining, and another joins
+	Routes      Kind = "routes"      // a newer version of the routes is published
+
+	Restore Kind = "restore" // the store is restored from a copy that is as old as the step is long
+	Leaving Kind = "leaving" // a worker reports that it is draining in its answers only
+	Limited Kind = "limited" // a worker reports a rate limit in its answers
+
+	Narrow Kind = "narrow" // the bandwidth to the store is that of a small instance
 )
 
-// rare come once in some seconds, drawn apart from the others.
-var rare = []Kind{Restore, Leaving, Limited}
+// rareKinds occur once in several seconds. They are generated from a random source of their own.
+var rareKinds = []Kind{Restore, Leaving, Limited}
 
-// sizes are how many routes that nobody uses a configuration holds.
-var sizes = []int{0, 0, 3000, 12000}
+// idleRouteCounts are how many unused routes a configuration may hold.
+var idleRouteCounts = []int{0, 0, 3000, 12000}
 
-var kinds = []Kind{
+var commonKinds = []Kind{
 	Kill, Kill, KillAll, Replace, Replace, Pause, Pause, Reload, Delayed, Silent, OneWay, Refused,
 	StoreDown, StoreSilent, StoreForgot, Misbehave, Misbehave, Misbehave, Drain, Drain, Routes, Routes,
 }
 
-// stops have many orders to end meet requests that workers hold.
-var stops = []Kind{
+// stopKinds make many shutdowns coincide with requests that workers stall.
+var stopKinds = []Kind{
 	Replace, Replace, Replace, Replace, Replace, Replace, Misbehave, Misbehave, Misbehave, Misbehave, Misbehave,
 	Silent, Silent, Silent, OneWay,
 }
 
 const (
-	// longest is how long one fault lasts at most: callers of the routes wait for
+	// maxDuration is how long one fault lasts at most: callers of the routes wait for
 	// two to four seconds.
-	longest = 2500 * time.Millisecond
-	// apart is the mean time from one step to the next: faults that last one and a
-	// quarter second on the mean overlap, two or three at a time.
-	apart = 450 * time.Millisecond
-	// rareApart is the same of those that are drawn apart, and limitedFor the least time
-	// for which a worker names a rate: most of it is left to what is under way.
-	rareApart  = 5 * time.Second
-	limitedFor = 6 * time.Second
-	// unlistedFor is the least time for which a worker that leaves is listed as ready:
-	// longer than what processes have to stop in.
-	unlistedFor = 4 * time.Second
+	maxDuration = 2500 * time.Millisecond
+	// meanInterval is the mean time from one step to the next: faults that last 1.25
+	// seconds on average overlap, two or three at a time.
+	meanInterval = 450 * time.Millisecond
+	// rareMeanInterval is the same for the kinds that are generated separately, and
+	// minLimitedDuration the shortest time for which a worker reports a rate: during much of
+	// it, requests that were in flight may still arrive above the rate.
+	rareMeanInterval   = 5 * time.Second
+	minLimitedDuration = 6 * time.Second
+	// minUnlistedDuration is the shortest time for which a draining worker is still listed as
+	// ready: longer than the time in which processes have to stop sending to it.
+	minUnlistedDuration = 4 * time.Second
 )
 
 // Step is one fault.
 type Step struct {
-	At, For time.Duration
-	Kind    Kind
-	Which   int // gateway or worker, to be taken modulo their number
-	Draw    uint64
+	At, Duration time.Duration
+	Kind         Kind
+	Which        int // index of the gateway or worker, modulo their number
+	Random       uint64
 }
 
-// Schedule is what happens in one soak.
+// Schedule holds the steps of one soak.
 type Schedule struct {
-	seed  uint64
-	steps []Step
-	idle  int
+	seed       uint64
+	steps      []Step
+	idleRoutes int
 }
 
-// Draw returns the schedule of a seed, for so long.
-func Draw(seed uint64, length time.Duration) *Schedule { return draw(seed, length, kinds) }
+// Generate returns the schedule of a seed, for so long.
+func Generate(seed uint64, length time.Duration) *Schedule {
+	return generate(seed, length, commonKinds)
+}
 
-// DrawStops returns a schedule in which most faults are orders to end, and workers that
-// hold requests.
-func DrawStops(seed uint64, length time.Duration) *Schedule { return draw(seed, length, stops) }
+// GenerateStops returns a schedule in which most faults are shutdowns, and workers that stall
+// requests.
+func GenerateStops(seed uint64, length time.Duration) *Schedule {
+	return generate(seed, length, stopKinds)
+}
 
-func draw(seed uint64, length time.Duration, often []Kind) *Schedule {
+func generate(seed uint64, length time.Duration, common []Kind) *Schedule {
 	s := &Schedule{seed: seed}
-	s.draw(rand.New(rand.NewPCG(seed, 0)), length, apart, often)
-	s.draw(rand.New(rand.NewPCG(seed, 1)), length, rareApart, rare)
+	s.addSteps(rand.New(rand.NewPCG(seed, 0)), length, meanInterval, common)
+	s.addSteps(rand.New(rand.NewPCG(seed, 1)), length, rareMeanInterval, rareKinds)
 	r := rand.New(rand.NewPCG(seed, 2))
-	s.idle = sizes[r.IntN(len(sizes))]
-	s.draw(r, length, rareApart, []Kind{Narrow})
+	s.idleRoutes = idleRouteCounts[r.IntN(len(idleRouteCounts))]
+	s.addSteps(r, length, rareMeanInterval, []Kind{Narrow})
 	slices.SortStableFunc(s.steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 	return s
 }
 
-func (s *Schedule) draw(r *rand.Rand, length, apart time.Duration, kinds []Kind) {
+func (s *Schedule) addSteps(r *rand.Rand, length, interval time.Duration, kinds []Kind) {
 	for at := time.Duration(0); ; {
-		at += time.Duration(r.ExpFloat64() * float64(apart))
+		at += time.Duration(r.ExpFloat64() * float64(interval))
 		if at >= length {
 			return
 		}
 		step := Step{
-			At: at.Truncate(time.Millisecond), For: time.Duration(r.Float64() * float64(longest)).Truncate(time.Millisecond),
-			Kind: kinds[r.IntN(len(kinds))], Which: r.IntN(1 << 16), Draw: r.Uint64(),
+			At: at.Truncate(time.Millisecond), Duration: time.Duration(r.Float64() * float64(maxDuration)).Truncate(time.Millisecond),
+			Kind: kinds[r.IntN(len(kinds))], Which: r.IntN(1 << 16), Random: r.Uint64(),
 		}
 		switch step.Kind {
 		case Limited:
-			step.For += limitedFor
+			step.Duration += minLimitedDuration
 		case Leaving:
-			step.For += unlistedFor
+			step.Duration += minUnlistedDuration
 		}
 		s.steps = append(s.steps, step)
 	}
 }
 
-// Seed returns what the schedule was drawn from.
+// Seed returns the seed that the schedule was generated from.
 func (s *Schedule) Seed() uint64 { return s.seed }
 
-// IdleRoutes returns how many routes that nobody uses the configuration holds.
-func (s *Schedule) IdleRoutes() int { return s.idle }
+// IdleRoutes returns how many unused routes the configuration holds.
+func (s *Schedule) IdleRoutes() int { return s.idleRoutes }
 
-// Steps returns the steps in their order.
+// Steps returns the steps in order of their start.
 func (s *Schedule) Steps() []Step { return slices.Clone(s.steps) }
 
-// String returns the schedule, a step a line.
+// String returns the schedule with one step per line.
 func (s *Schedule) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "seed %d, %d idle routes\n", s.seed, s.idle)
+	fmt.Fprintf(&b, "seed %d, %d idle routes\n", s.seed, s.idleRoutes)
 	for _, step := range s.steps {
-		fmt.Fprintf(&b, "%v %s which=%d for=%v\n", step.At, step.Kind, step.Which, step.For)
+		fmt.Fprintf(&b, "%v %s which=%d for=%v\n", step.At, step.Kind, step.Which, step.Duration)
 	}
 	return b.String()
 }
